--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -98,9 +98,9 @@
 
     /// Does all that can be done without new events. Returns until when nothing more is to be done; none: the node has ended.
     pub fn prepare(&mut self) -> Option<Micros> {
-        self.handle_events();
+        self.handle_engine_events();
         self.flush_clients();
-        if self.is_stopped() {
+        if self.advance_shutdown() {
             return None;
         }
         // The timer for a sweep is always set.
@@ -109,7 +109,7 @@
             .next()
             .filter(|_| !self.frontends.has_dirty())
             .unwrap_or(0);
-        Some(self.freshness.loop_idle(self.io.now(), next_timer))
+        Some(self.freshness.record_idle(self.io.now(), next_timer))
     }
 
     /// One round: waits for events for at most `wait` microseconds and handles them.
@@ -121,12 +121,12 @@
         self.poll(&mut ready, wait)?;
         // Sockets before timers: on a node without enough CPU a response that came in time must not count as late.
         for event in &ready {
-            self.ready(event);
+            self.handle_ready_event(event);
         }
         self.io.ready = ready;
         self.accept_admin_clients();
         self.accept_clients();
-        self.handle_events();
+        self.handle_engine_events();
         self.write_confirmed_attempts();
         let now = self.io.now();
         while let Some(event) = self.timers.pop_expired(now) {
@@ -136,7 +136,7 @@
     }
 
     /// Handles an event of the transport.
-    fn ready(&mut self, event: &ReadyEvent) {
+    fn handle_ready_event(&mut self, event: &ReadyEvent) {
         let now = self.io.now();
         match TokenOwner::of(event.token) {
             TokenOwner::ClientListener => self.frontends.listener_ready(event.token),
@@ -175,13 +175,13 @@
     }
 
     /// Has the decision engine handle all queued events, and performs its actions.
-    fn handle_events(&mut self) {
+    fn handle_engine_events(&mut self) {
         while let Some(event) = self.engine.next_event() {
             let now = self.io.now();
             let mut actions = self.engine.handle(&mut self.io.net, now, event);
             for action in actions.drain(..) {
                 self.engine.trace_action(&mut self.io.net, &action);
-                self.perform(action, now);
+                self.perform_action(action, now);
             }
             self.engine.recycle(actions);
         }
@@ -201,7 +201,7 @@
             TimerEvent::Attempt(id) => {
                 let request = self.requests.get(id.request);
                 if request.is_some_and(|request| request.serial == id.serial) {
-                    self.cut_value(id.request, id.attempt, now);
+                    self.end_overdue_stream(id.request, id.attempt, now);
                     self.abandon_attempt(id.request, id.attempt, Status::Timeout);
                 }
             }
@@ -212,7 +212,7 @@
                 }
             }
             TimerEvent::FinalResponses => {
-                self.give_final_responses();
+                self.force_final_responses();
                 self.sweep_clients(now);
             }
             // The round that it has begun ends the process.
@@ -226,7 +226,7 @@
                 let event = discovery.timer_expired(serial, now, &mut self.timers);
                 self.handle_discovery(event);
             }
-            TimerEvent::Reload => self.repeat_reload(now),
+            TimerEvent::Reload => self.retry_reload(now),
             TimerEvent::Sweep => self.sweep(now),
         }
     }
--- a/crates/node/src/event_loop/accepting.rs
+++ b/crates/node/src/event_loop/accepting.rs
@@ -18,14 +18,16 @@
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
     pub(super) fn accept_clients(&mut self) {
         for index in 0..self.frontends.listeners.len() {
-            self.accept_from(index);
+            self.accept_from_listener(index);
         }
     }
 
     /// Accepts the connections that wait on a listener, up to the bound of one round.
-    pub(super) fn accept_from(&mut self, index: usize) {
+    pub(super) fn accept_from_listener(&mut self, index: usize) {
         let mut accepted = 0;
-        while self.frontends.listeners[index].has_waiting && accepted < MAX_ACCEPTS_PER_ROUND {
+        while self.frontends.listeners[index].has_pending_connections
+            && accepted < MAX_ACCEPTS_PER_ROUND
+        {
             let now = self.io.now();
             let Some(has_slot) = self.reserve_connection(now) else {
                 return;
@@ -38,7 +40,9 @@
                     self.add_client(stream, protocol, has_slot);
                     accepted += 1;
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => listener.has_waiting = false,
+                Err(e) if e.kind() == ErrorKind::WouldBlock => {
+                    listener.has_pending_connections = false;
+                }
                 // Guards against a lack of descriptors: an edge-triggered poll reports no second time that connections wait,
                 // so they are accepted in the next round, at the latest with the next sweep. An idle upstream connection is
                 // closed for one.
@@ -124,7 +128,7 @@
             // It has its responses; its next request comes on a new connection.
             self.drop_client(key);
         } else {
-            self.reject_client(key);
+            self.close_with_rejection(key);
         }
         true
     }
@@ -135,7 +139,7 @@
             return false;
         };
         if !self.frontends.clients[key].is_lingering() {
-            self.reject_client(key);
+            self.close_with_rejection(key);
             let client = &mut self.frontends.clients[key];
             client.queue_ready_responses();
             // Broken or not, it is dropped.
@@ -147,7 +151,7 @@
     }
 
     /// Closes a client's connection with a rejection, which answers a request that is incomplete or just being written.
-    fn reject_client(&mut self, key: usize) {
+    fn close_with_rejection(&mut self, key: usize) {
         let Some(client) = self.frontends.clients.get_mut(key) else {
             return;
         };
--- a/crates/node/src/event_loop/attempts.rs
+++ b/crates/node/src/event_loop/attempts.rs
@@ -49,9 +49,9 @@
         request.attempts.push(Attempt {
             server: server.clone(),
             started: now,
-            until: now + wait,
+            expires_at: now + wait,
             connection: None,
-            counted: false,
+            counted_in_ledger: false,
         });
         request.attempts_in_flight += 1;
         let may_start = may_start(request, protocol, wait);
@@ -59,7 +59,7 @@
             // Before the outcome, or the decision engine would start another attempt.
             self.stop_attempts(key);
         }
-        if !may_start || !is_connected || !self.start_in_ledger(key, attempt, now) {
+        if !may_start || !is_connected || !self.count_attempt_in_ledger(key, attempt, now) {
             return self.end_attempt(key, attempt, AttemptResult::of(Status::NotSent));
         }
         let encoded = self.encode_request(key, protocol, wait);
@@ -82,7 +82,7 @@
             Protocol::Resp2 => encode_resp2(&self.requests[key], wait),
             Protocol::Memcached => {
                 let frontend = self.frontends.memcached.as_mut();
-                let sequence = frontend.map_or(0, MemcachedFrontend::next_upstream_request);
+                let sequence = frontend.map_or(0, MemcachedFrontend::next_upstream_sequence);
                 encode_memcached(&self.requests[key], sequence)
             }
         }
@@ -103,7 +103,7 @@
             let (key, attempt) = (id.request, id.attempt);
             let is_connected = self.is_client_connected(self.requests[key].respond_to);
             let request = &self.requests[key];
-            let remaining = request.attempts[attempt].until - now;
+            let remaining = request.attempts[attempt].expires_at - now;
             let server = request.attempts[attempt].server.clone();
             let is_over =
                 request.closed || request.attempts_stopped || remaining <= 0 || !is_connected;
@@ -130,7 +130,7 @@
             return;
         };
         let connection = request.attempts.get(attempt).and_then(|a| a.connection);
-        let Some(connection) = connection.filter(|_| !request.streams(attempt)) else {
+        let Some(connection) = connection.filter(|_| !request.is_streaming(attempt)) else {
             return;
         };
         let may_have_run = self.upstreams.abandon(connection, now);
@@ -149,10 +149,10 @@
         let request = &mut self.requests[key];
         let ended = &mut request.attempts[attempt];
         ended.connection = None;
-        let is_counted = std::mem::take(&mut ended.counted);
+        let is_counted = std::mem::take(&mut ended.counted_in_ledger);
         request.attempts_in_flight -= 1;
         if is_counted {
-            self.end_in_ledger(key, result.status);
+            self.end_attempt_in_ledger(key, result.status);
         }
         let request = &self.requests[key];
         let ended = &request.attempts[attempt];
--- a/crates/node/src/event_loop/clients.rs
+++ b/crates/node/src/event_loop/clients.rs
@@ -17,7 +17,7 @@
 use crate::upstream::response::AttemptResult;
 
 /// Bytes of a long value that wait for its client; beyond it the server is held back.
-const MAX_STREAMED_BYTES: usize = MAX_READ;
+const MAX_UNSENT_STREAM_BYTES: usize = MAX_READ;
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
     /// Handles an event on a client's connection.
@@ -42,7 +42,7 @@
             let budget = &mut self.requests.value_memory;
             match client.next_input(now, budget, &mut self.io.scratch) {
                 ClientInput::Command(command) => self.handle_command(key, &command, now),
-                ClientInput::Request(request) => self.handle_memcached(key, request, now),
+                ClientInput::Request(request) => self.handle_memcached_request(key, request, now),
                 ClientInput::Nothing => break,
                 ClientInput::Malformed { reason, respond_to } => {
                     self.close_with_error(key, reason, respond_to);
@@ -156,7 +156,7 @@
         let respond_to = ResponseAddress {
             client,
             client_serial: connection.serial,
-            slot: connection.push_response(waiting),
+            response_number: connection.push_response(waiting),
         };
         let new = NewRequest {
             id: request.id.clone(),
@@ -244,7 +244,7 @@
                 self.drop_client(key);
             }
             // Events of this client are handled before those of the next one.
-            self.handle_events();
+            self.handle_engine_events();
         }
     }
 
@@ -260,7 +260,7 @@
             else {
                 return;
             };
-            if client.out.len() >= MAX_STREAMED_BYTES {
+            if client.out.len() >= MAX_UNSENT_STREAM_BYTES {
                 return;
             }
             let connection = *connection;
--- a/crates/node/src/event_loop/disconnects.rs
+++ b/crates/node/src/event_loop/disconnects.rs
@@ -24,21 +24,21 @@
         self.io.net.poll(ready, wait.max(0))?;
         let now = self.io.now();
         let newest = self.serials.last();
-        self.freshness.polled(now, wake, ready.len(), newest);
+        self.freshness.record_poll(now, wake, ready.len(), newest);
         let mut listeners = self.frontends.listeners.iter();
-        if !listeners.any(|listener| listener.has_waiting) {
-            self.freshness.accept_queues_empty();
+        if !listeners.any(|listener| listener.has_pending_connections) {
+            self.freshness.record_empty_accept_queues();
         }
         for ((token, serial), event) in deferred {
-            if self.client_serial_at(token) == serial {
-                self.ready(&event);
+            if self.client_serial_of(token) == serial {
+                self.handle_ready_event(&event);
             }
         }
         Ok(())
     }
 
     /// The serial of the client that a token stands for; 0 for all other tokens.
-    fn client_serial_at(&self, token: Token) -> u64 {
+    fn client_serial_of(&self, token: Token) -> u64 {
         match TokenOwner::of(token) {
             TokenOwner::Client(key) => {
                 let client = self.frontends.clients.get(key);
@@ -56,30 +56,31 @@
             let now = self.io.now();
             // If polling fails, the next round reports it.
             if self.io.net.poll(&mut ready, 0).is_err() || ready.is_empty() {
-                self.freshness.polled_within_round(now, self.serials.last());
+                self.freshness
+                    .record_poll_within_round(now, self.serials.last());
                 return;
             }
             for event in &ready {
-                self.defer(event);
+                self.defer_event(event);
             }
         }
     }
 
-    fn defer(&mut self, event: &ReadyEvent) {
+    fn defer_event(&mut self, event: &ReadyEvent) {
         // Not deferred: by the next round the token may stand for another request.
         if event.token == DISCOVERY {
-            return self.ready(event);
+            return self.handle_ready_event(event);
         }
         if let TokenOwner::Client(key) = TokenOwner::of(event.token) {
             let client = self.frontends.clients.get_mut(key);
             if let Some(client) = client.filter(|_| event.read_closed) {
-                let since = self.freshness.end_since(client.serial);
+                let since = self.freshness.earliest_input_end(client.serial);
                 // After a reset nobody reads the response.
-                let has_failed_for = if event.error { MAX_HALF_CLOSED_TIME } else { 0 };
-                client.observe_end(since - has_failed_for);
+                let backdated_by = if event.error { MAX_HALF_CLOSED_TIME } else { 0 };
+                client.observe_input_end(since - backdated_by);
             }
         }
-        let serial = self.client_serial_at(event.token);
+        let serial = self.client_serial_of(event.token);
         self.freshness.defer(event, serial);
     }
 
@@ -98,7 +99,7 @@
         let Some(client) = self.frontends.clients.get_mut(key) else {
             return;
         };
-        if let Some(since) = client.take_observed_end() {
+        if let Some(since) = client.take_observed_input_end() {
             let event = TimerEvent::ClientDisconnected {
                 client: key,
                 serial: client.serial,
--- a/crates/node/src/event_loop/disconnects_tests.rs
+++ b/crates/node/src/event_loop/disconnects_tests.rs
@@ -18,76 +18,77 @@
 
 /// What the one client has done, and the attempts and responses that followed.
 #[derive(Default)]
-struct World {
+struct NetworkState {
     now: Micros,
     /// How far the clock advances with each reading.
-    step: Micros,
+    clock_step: Micros,
     /// The client's connection waits to be accepted.
-    waits: bool,
+    connection_pending: bool,
     /// Its token, once accepted.
     client: Option<Token>,
     commands: Vec<u8>,
     disconnects_at: Micros,
     resets: bool,
-    end_reported: bool,
+    end_is_reported: bool,
     /// Connections to servers that come up with the next poll.
-    opening: Vec<Token>,
+    connecting: Vec<Token>,
     /// When attempts started.
     attempt_times: Vec<Micros>,
     responses: Vec<u8>,
 }
 
 #[derive(Clone)]
-struct SlowTransport(Rc<RefCell<World>>);
+struct SlowTransport(Rc<RefCell<NetworkState>>);
 
 struct SlowConnection {
-    world: Rc<RefCell<World>>,
-    client: bool,
-    up: Rc<RefCell<bool>>,
+    network: Rc<RefCell<NetworkState>>,
+    is_client: bool,
+    is_established: Rc<RefCell<bool>>,
 }
 
 impl Stream for SlowConnection {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
-        let mut w = self.world.borrow_mut();
-        if self.client && !w.commands.is_empty() {
-            let n = into.len().min(w.commands.len());
-            into[..n].copy_from_slice(&w.commands[..n]);
-            w.commands.drain(..n);
+        let mut state = self.network.borrow_mut();
+        if self.is_client && !state.commands.is_empty() {
+            let n = into.len().min(state.commands.len());
+            into[..n].copy_from_slice(&state.commands[..n]);
+            state.commands.drain(..n);
             return Ok(n);
         }
-        match self.client && w.now >= w.disconnects_at {
-            true if w.resets => Err(ErrorKind::ConnectionReset.into()),
+        match self.is_client && state.now >= state.disconnects_at {
+            true if state.resets => Err(ErrorKind::ConnectionReset.into()),
             true => Ok(0),
             false => Err(ErrorKind::WouldBlock.into()),
         }
     }
 
     fn write(&mut self, chunks: &[IoSlice<'_>]) -> io::Result<usize> {
-        let mut w = self.world.borrow_mut();
-        if self.client {
+        let mut state = self.network.borrow_mut();
+        if self.is_client {
             for chunk in chunks {
-                w.responses.extend_from_slice(chunk);
+                state.responses.extend_from_slice(chunk);
             }
         } else {
-            let now = w.now;
-            w.attempt_times.push(now);
+            let now = state.now;
+            state.attempt_times.push(now);
         }
         Ok(chunks.iter().map(|chunk| chunk.len()).sum())
     }
 
     fn has_no_input(&self) -> bool {
-        !self.client
+        !self.is_client
     }
 
     fn take_error(&self) -> io::Result<Option<io::Error>> {
-        let w = self.world.borrow();
-        let broken = self.client && w.resets && w.now >= w.disconnects_at;
+        let state = self.network.borrow();
+        let broken = self.is_client && state.resets && state.now >= state.disconnects_at;
         Ok(broken.then(|| ErrorKind::ConnectionReset.into()))
     }
 
     fn check_connected(&self) -> io::Result<()> {
-        let up = *self.up.borrow();
-        up.then_some(())
+        let is_established = *self.is_established.borrow();
+        is_established
+            .then_some(())
             .ok_or_else(|| ErrorKind::NotConnected.into())
     }
 
@@ -103,9 +104,9 @@
     type Listener = ();
 
     fn now(&self) -> Micros {
-        let mut w = self.0.borrow_mut();
-        w.now += w.step;
-        w.now
+        let mut state = self.0.borrow_mut();
+        state.now += state.clock_step;
+        state.now
     }
 
     fn machine_time(&self) -> Micros {
@@ -125,15 +126,15 @@
     }
 
     fn accept(&mut self, _listener: &mut (), token: Token) -> io::Result<SlowConnection> {
-        let mut w = self.0.borrow_mut();
-        if !std::mem::take(&mut w.waits) {
+        let mut state = self.0.borrow_mut();
+        if !std::mem::take(&mut state.connection_pending) {
             return Err(ErrorKind::WouldBlock.into());
         }
-        w.client = Some(token);
+        state.client = Some(token);
         Ok(SlowConnection {
-            world: self.0.clone(),
-            client: true,
-            up: Rc::default(),
+            network: self.0.clone(),
+            is_client: true,
+            is_established: Rc::default(),
         })
     }
 
@@ -141,30 +142,34 @@
         if to.to_string() == DISCOVERY_AT {
             return Err(ErrorKind::ConnectionRefused.into());
         }
-        self.0.borrow_mut().opening.push(token);
+        self.0.borrow_mut().connecting.push(token);
         Ok(SlowConnection {
-            world: self.0.clone(),
-            client: false,
-            up: Rc::new(RefCell::new(true)),
+            network: self.0.clone(),
+            is_client: false,
+            is_established: Rc::new(RefCell::new(true)),
         })
     }
 
     fn poll(&mut self, ready: &mut Vec<ReadyEvent>, wait: Micros) -> io::Result<()> {
         ready.clear();
-        let mut w = self.0.borrow_mut();
-        ready.extend(std::mem::take(&mut w.opening).into_iter().map(connected));
-        if let Some(token) = w
+        let mut state = self.0.borrow_mut();
+        ready.extend(
+            std::mem::take(&mut state.connecting)
+                .into_iter()
+                .map(connected),
+        );
+        if let Some(token) = state
             .client
-            .filter(|_| w.now >= w.disconnects_at && !w.end_reported)
+            .filter(|_| state.now >= state.disconnects_at && !state.end_is_reported)
         {
-            w.end_reported = true;
+            state.end_is_reported = true;
             ready.push(ReadyEvent {
-                error: w.resets,
+                error: state.resets,
                 ..input_ended(token)
             });
         }
         if ready.is_empty() {
-            w.now += wait;
+            state.now += wait;
         }
         Ok(())
     }
@@ -191,77 +196,78 @@
 
 /// When attempts start for a client that sends a hundred requests and disconnects this long after the first of them.
 fn attempt_times(
-    step: Micros,
+    clock_step: Micros,
     disconnects_after: Micros,
     resets: bool,
-) -> (Rc<RefCell<World>>, Micros) {
-    let world = Rc::new(RefCell::new(World {
+) -> (Rc<RefCell<NetworkState>>, Micros) {
+    let network = Rc::new(RefCell::new(NetworkState {
         disconnects_at: Micros::MAX,
-        ..World::default()
+        ..NetworkState::default()
     }));
     let config = || config::parse(&config_text());
     let mut node = Node::new(
         config().unwrap(),
-        SlowTransport(world.clone()),
+        SlowTransport(network.clone()),
         Box::new(config),
     )
     .unwrap();
     let run_round = |node: &mut Node<SlowTransport>| {
         let due = node.prepare().unwrap();
-        let wait = (due - world.borrow().now).clamp(0, 1000);
+        let wait = (due - network.borrow().now).clamp(0, 1000);
         node.run_once(wait).unwrap();
     };
     for _ in 0..50 {
         run_round(&mut node);
     }
     let disconnects_at = {
-        let mut w = world.borrow_mut();
-        w.commands = requests();
-        w.disconnects_at = w.now + disconnects_after;
-        (w.waits, w.resets, w.step) = (true, resets, step);
-        w.disconnects_at
+        let mut state = network.borrow_mut();
+        state.commands = requests();
+        state.disconnects_at = state.now + disconnects_after;
+        (state.connection_pending, state.resets, state.clock_step) = (true, resets, clock_step);
+        state.disconnects_at
     };
     for listener in &mut node.frontends.listeners {
-        listener.has_waiting = true;
+        listener.has_pending_connections = true;
     }
     for _ in 0..200 {
         run_round(&mut node);
     }
-    (world, disconnects_at)
+    (network, disconnects_at)
 }
 
 #[test]
 fn no_attempt_starts_late_for_a_client_that_disconnects_within_a_long_round() {
-    for step in [100, 300, 1_000] {
-        let (stays, far) = attempt_times(step, 1 << 50, false);
-        let stays: Vec<Micros> = stays
+    for clock_step in [100, 300, 1_000] {
+        let (baseline, never) = attempt_times(clock_step, 1 << 50, false);
+        let baseline: Vec<Micros> = baseline
             .borrow()
             .attempt_times
             .iter()
-            .map(|at| at - (far - (1 << 50)))
+            .map(|at| at - (never - (1 << 50)))
             .collect();
         assert!(
-            stays.len() >= REQUESTS,
+            baseline.len() >= REQUESTS,
             "all requests of a client that stays are forwarded"
         );
         for resets in [false, true] {
             for disconnects_after in [
                 0,
-                stays[0],
-                stays[10],
-                stays[30],
-                stays[60],
-                stays[REQUESTS - 10],
+                baseline[0],
+                baseline[10],
+                baseline[30],
+                baseline[60],
+                baseline[REQUESTS - 10],
             ] {
-                let (world, disconnects_at) = attempt_times(step, disconnects_after, resets);
-                let attempt_times = &world.borrow().attempt_times;
+                let (network, disconnects_at) =
+                    attempt_times(clock_step, disconnects_after, resets);
+                let attempt_times = &network.borrow().attempt_times;
                 let last = attempt_times
                     .iter()
                     .max()
                     .map_or(0, |at| at - disconnects_at);
                 assert!(
                     last < MAX_DELAY / 2,
-                    "{step} {disconnects_after} {resets}: {last} of {}",
+                    "{clock_step} {disconnects_after} {resets}: {last} of {}",
                     attempt_times.len()
                 );
             }
--- a/crates/node/src/event_loop/dispatch.rs
+++ b/crates/node/src/event_loop/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::upstream::request::{encode_memcached_probe, encode_resp2_probe};
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
-    pub(super) fn perform(&mut self, action: Action, now: Micros) {
+    pub(super) fn perform_action(&mut self, action: Action, now: Micros) {
         match action {
             Action::Send {
                 request,
--- a/crates/node/src/event_loop/memcached_requests.rs
+++ b/crates/node/src/event_loop/memcached_requests.rs
@@ -6,14 +6,14 @@
 
 use super::Node;
 use crate::engine::DecisionEngine;
-use crate::frontend::memcached::{encode_stat, Admission, MemcachedFrontend, Rejection};
+use crate::frontend::memcached::{encode_stat, MemcachedFrontend, Rejection, RoutingContext};
 use crate::frontend::response::{FinalResponse, RequestProtocol};
 use crate::request_table::ParsedRequest;
 use crate::transport::Transport;
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
     /// Handles a request of a memcached client.
-    pub(super) fn handle_memcached(
+    pub(super) fn handle_memcached_request(
         &mut self,
         client: usize,
         request: memcached::Request,
@@ -34,7 +34,7 @@
             (Some(status), _) => protocol.encode_status(status, None),
             (None, Opcode::Get | Opcode::GetK | Opcode::Set) => {
                 let key = request.key.clone();
-                match self.accept_memcached(client, opcode, request, now) {
+                match self.route_memcached_request(client, opcode, request, now) {
                     Ok(()) => return,
                     Err(rejection) => encode_rejection(protocol, &key, rejection),
                 }
@@ -80,22 +80,22 @@
     }
 
     /// Routes a request and accepts it.
-    fn accept_memcached(
+    fn route_memcached_request(
         &mut self,
         client: usize,
         opcode: Opcode,
         request: memcached::Request,
         now: Micros,
     ) -> Result<(), Rejection> {
-        let admission = Admission {
+        let context = RoutingContext {
             now,
             unix_time: self.io.net.unix_time_at_start() + now,
-            is_full: self.rejects_requests(client, now),
+            is_rejecting: self.rejects_requests(client, now),
         };
         let Some(frontend) = &mut self.frontends.memcached else {
             return Err(Rejection::Answered(FinalResponse::Failed));
         };
-        let routed = frontend.route(opcode, &request, admission)?;
+        let routed = frontend.route(opcode, &request, context)?;
         let opaque = request.opaque;
         let accepted = Request {
             id: frontend.request_id(self.serials.next(), opaque).into(),
@@ -121,19 +121,24 @@
     }
 
     /// Counts an attempt of a keyed write in the ledger; false: it must not start.
-    pub(super) fn start_in_ledger(&mut self, key: usize, attempt: usize, now: Micros) -> bool {
+    pub(super) fn count_attempt_in_ledger(
+        &mut self,
+        key: usize,
+        attempt: usize,
+        now: Micros,
+    ) -> bool {
         let request = &mut self.requests[key];
         let (Some(keyed), Some(frontend)) = (&mut request.keyed, &mut self.frontends.memcached)
         else {
             return true;
         };
         let may_start = frontend.start_attempt(keyed, now);
-        request.attempts[attempt].counted = may_start;
+        request.attempts[attempt].counted_in_ledger = may_start;
         may_start
     }
 
     /// An attempt that the ledger has counted has ended.
-    pub(super) fn end_in_ledger(&mut self, key: usize, status: AttemptStatus) {
+    pub(super) fn end_attempt_in_ledger(&mut self, key: usize, status: AttemptStatus) {
         let request = &mut self.requests[key];
         if let (Some(keyed), Some(frontend)) = (&mut request.keyed, &mut self.frontends.memcached) {
             frontend.end_attempt(keyed, status);
--- a/crates/node/src/event_loop/outcomes.rs
+++ b/crates/node/src/event_loop/outcomes.rs
@@ -18,7 +18,7 @@
 
 /// A long value that has begun may go on until its request's deadline, or for the longest deadline, and this much more; after
 /// that it counts as lost. Guards against one that arrives too slowly to ever end.
-const VALUE_TIME_MARGIN: Micros = 500_000;
+const STREAM_TIME_MARGIN: Micros = 500_000;
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
     /// Handles what has happened on upstream connections.
@@ -33,10 +33,10 @@
                     self.end_probe(serial, status, None);
                 }
                 UpstreamEvent::Reply(Exchange::Attempt(id), reply) => {
-                    self.attempt_answered(id, reply);
+                    self.handle_attempt_reply(id, reply);
                 }
                 UpstreamEvent::Ended(Exchange::Attempt(id), status) => {
-                    self.attempt_failed(id, status);
+                    self.handle_attempt_failure(id, status);
                 }
                 UpstreamEvent::ValueStarted {
                     exchange: Exchange::Attempt(id),
@@ -58,13 +58,13 @@
         }
     }
 
-    fn attempt_answered(&mut self, id: AttemptId, reply: ServerReply) {
+    fn handle_attempt_reply(&mut self, id: AttemptId, reply: ServerReply) {
         if !self.requests.is_in_flight(id) {
             return;
         }
         let request = &self.requests[id.request];
         let mut result = interpret(&reply, request.write);
-        if request.streams(id.attempt) {
+        if request.is_streaming(id.attempt) {
             result.status = Status::Ok;
             self.end_stream(id.request, true);
         } else if result.status == Status::Ok && !request.closed {
@@ -73,11 +73,11 @@
         self.end_attempt(id.request, id.attempt, result);
     }
 
-    fn attempt_failed(&mut self, id: AttemptId, status: Status) {
+    fn handle_attempt_failure(&mut self, id: AttemptId, status: Status) {
         if !self.requests.is_in_flight(id) {
             return;
         }
-        let status = if self.requests[id.request].streams(id.attempt) {
+        let status = if self.requests[id.request].is_streaming(id.attempt) {
             self.end_stream(id.request, false);
             Status::Reset
         } else {
@@ -116,9 +116,9 @@
             attempt,
             latency: now - streamed.started,
         });
-        let until = request.deadline.max(now + longest_deadline) + VALUE_TIME_MARGIN;
-        streamed.until = until;
-        self.timers.set(until, TimerEvent::Attempt(id));
+        let expires_at = request.deadline.max(now + longest_deadline) + STREAM_TIME_MARGIN;
+        streamed.expires_at = expires_at;
+        self.timers.set(expires_at, TimerEvent::Attempt(id));
         let header = request.protocol.encode_value_header(&request.key, len);
         let to = request.respond_to;
         self.engine.push(Event::ResponseStarted {
@@ -138,13 +138,13 @@
     }
 
     /// Ends a long value that is not complete when its time is over.
-    pub(super) fn cut_value(&mut self, key: usize, attempt: usize, now: Micros) {
+    pub(super) fn end_overdue_stream(&mut self, key: usize, attempt: usize, now: Micros) {
         let request = self.requests.get(key);
-        let Some(request) = request.filter(|request| request.streams(attempt)) else {
+        let Some(request) = request.filter(|request| request.is_streaming(attempt)) else {
             return;
         };
         let streamed = &request.attempts[attempt];
-        let Some(connection) = streamed.connection.filter(|_| now >= streamed.until) else {
+        let Some(connection) = streamed.connection.filter(|_| now >= streamed.expires_at) else {
             return;
         };
         self.upstreams.abandon(connection, now);
@@ -160,8 +160,8 @@
         let Some(connection) = self.frontends.connection_for(to) else {
             return self.requests.close(key);
         };
-        let is_unstarted = matches!(
-            connection.response_mut(to.slot),
+        let is_header_pending = matches!(
+            connection.response_mut(to.response_number),
             Some(PendingResponse::Stream {
                 header: Some(_),
                 ..
@@ -171,7 +171,7 @@
             // Served; the value itself has been streamed.
             self.admin.metrics.count(class, &FinalResponse::NoValue);
             self.respond_encoded(key, protocol.encode_value_trailer());
-        } else if is_unstarted {
+        } else if is_header_pending {
             self.respond(key, FinalResponse::Failed);
         } else {
             self.admin.metrics.count(class, &FinalResponse::Failed);
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -13,7 +13,7 @@
     pub(super) fn handle_signals(&mut self, now: Micros) {
         let signals = self.io.net.take_signals();
         if signals.reload {
-            self.reload(now);
+            self.start_reload(now);
         }
         let longest_deadline = self.requests.longest_deadline;
         if signals.stop && self.lifecycle.stop(now, longest_deadline) {
@@ -24,12 +24,12 @@
         }
     }
 
-    fn reload(&mut self, now: Micros) {
+    fn start_reload(&mut self, now: Micros) {
         let outcome = self.reload.signalled(now, &mut self.timers);
         self.handle_reload(outcome);
     }
 
-    pub(super) fn repeat_reload(&mut self, now: Micros) {
+    pub(super) fn retry_reload(&mut self, now: Micros) {
         let outcome = self.reload.timer_expired(now, &mut self.timers);
         if let Some(outcome) = outcome {
             self.handle_reload(outcome);
@@ -58,7 +58,7 @@
     }
 
     /// The end of a graceful shutdown is near: each open request gets its final response now, so that it is written before.
-    pub(super) fn give_final_responses(&mut self) {
+    pub(super) fn force_final_responses(&mut self) {
         for key in self.requests.open_keys() {
             self.stop_attempts(key);
             let request = self.requests.get(key);
@@ -74,15 +74,15 @@
     ///
     /// Connections are accepted for a while, since a load balancer in front goes on sending them; then the accept queues are
     /// emptied, idle connections are closed and open requests are answered.
-    pub(super) fn is_stopped(&mut self) -> bool {
+    pub(super) fn advance_shutdown(&mut self) -> bool {
         let now = self.io.now();
         let lifecycle = &self.lifecycle;
         let listeners = &mut self.frontends.listeners;
         listeners.retain(|listener| lifecycle.accepts(now, listener.inherited) != Accept::No);
-        let is_last = listeners
+        let accepts_are_last = listeners
             .iter()
             .any(|listener| lifecycle.accepts(now, listener.inherited) == Accept::Last);
-        if is_last && !self.close_listeners() {
+        if accepts_are_last && !self.close_listeners() {
             return now >= self.lifecycle.exit_by();
         }
         if self.frontends.listeners.is_empty() {
@@ -96,9 +96,9 @@
     /// the system resets connections that are established between the two.
     fn close_listeners(&mut self) -> bool {
         for index in (0..self.frontends.listeners.len()).rev() {
-            self.frontends.listeners[index].has_waiting = true;
-            self.accept_from(index);
-            if !self.frontends.listeners[index].has_waiting {
+            self.frontends.listeners[index].has_pending_connections = true;
+            self.accept_from_listener(index);
+            if !self.frontends.listeners[index].has_pending_connections {
                 self.frontends.listeners.remove(index);
             }
         }
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -77,12 +77,12 @@
         let decision = wrap(balancer);
         let shares = DescriptorShares::of(config.sockets, admin_server.is_some());
         // No two processes of any two nodes may give the same request id.
-        let process = config.seed ^ net.unix_time_at_start() as u64;
+        let request_id_prefix = config.seed ^ net.unix_time_at_start() as u64;
         let hot_restart = is_inherited
             .then(|| HotRestart::new(config.listen, &config.names, classes, &net.boot_id()));
         let memcached = config
             .memcached
-            .map(|file| MemcachedFrontend::new(file, process));
+            .map(|file| MemcachedFrontend::new(file, request_id_prefix));
         let mut node = Node {
             io: Io::new(net),
             engine: EngineQueue::new(decision, config.names, Trace::new(config.trace)),
@@ -149,7 +149,7 @@
         token: RESP2_LISTENER,
         inherited: config.accept_fd.is_some(),
         protocol: Protocol::Resp2,
-        has_waiting: true,
+        has_pending_connections: true,
     }];
     if let Some(at) = config.memcached.as_ref().and_then(|file| file.listen) {
         let socket = net
@@ -160,7 +160,7 @@
             token: MEMCACHED_LISTENER,
             inherited: false,
             protocol: Protocol::Memcached,
-            has_waiting: true,
+            has_pending_connections: true,
         });
     }
     Ok(listeners)
--- a/crates/node/src/frontend.rs
+++ b/crates/node/src/frontend.rs
@@ -75,7 +75,7 @@
     /// Puts a response in the place that was reserved for it.
     pub(crate) fn set_response(&mut self, to: ResponseAddress, response: PendingResponse) {
         if let Some(connection) = self.connection_for(to) {
-            if let Some(pending) = connection.response_mut(to.slot) {
+            if let Some(pending) = connection.response_mut(to.response_number) {
                 *pending = response;
             }
             self.mark_dirty(to.client);
--- a/crates/node/src/frontend/acceptor.rs
+++ b/crates/node/src/frontend/acceptor.rs
@@ -13,9 +13,9 @@
 /// Connections accepted from one listener in one round, so that a flood of them leaves time for the existing ones.
 pub(crate) const MAX_ACCEPTS_PER_ROUND: usize = 64;
 /// A new client's first bytes come right behind its handshake: it is not closed for others while they may be on their way.
-const FIRST_BYTES_TIME: Micros = 100_000;
+const FIRST_REQUEST_GRACE: Micros = 100_000;
 /// How long a request may stay incomplete before its client is closed for others. Without others it has longer.
-const PARTIAL_REQUEST_TIME: Micros = 250_000;
+const PARTIAL_REQUEST_GRACE: Micros = 250_000;
 /// What the kernel buffers for a client that does not read; by itself it would grow to megabytes for each.
 pub(crate) const CLIENT_SEND_BUFFER: usize = 128 << 10;
 
@@ -27,7 +27,7 @@
     pub(crate) inherited: bool,
     pub(crate) protocol: Protocol,
     /// Connections may wait to be accepted.
-    pub(crate) has_waiting: bool,
+    pub(crate) has_pending_connections: bool,
 }
 
 impl<N: Transport> Frontends<N> {
@@ -35,7 +35,7 @@
     pub(crate) fn listener_ready(&mut self, token: Token) {
         let mut listeners = self.listeners.iter_mut();
         if let Some(listener) = listeners.find(|listener| listener.token == token) {
-            listener.has_waiting = true;
+            listener.has_pending_connections = true;
         }
     }
 
@@ -66,11 +66,11 @@
     match client.partial_request_since() {
         _ if client.is_lingering() => Some((false, accepted)),
         Some(since) => {
-            let is_late = now - since >= PARTIAL_REQUEST_TIME;
+            let is_late = now - since >= PARTIAL_REQUEST_GRACE;
             (client.unfinished_responses() == 0 && is_late).then_some((true, since))
         }
         None if !client.is_idle() => None,
-        None if client.last_request().is_none() && now - accepted < FIRST_BYTES_TIME => None,
+        None if client.last_request().is_none() && now - accepted < FIRST_REQUEST_GRACE => None,
         None => Some((true, client.last_active)),
     }
 }
--- a/crates/node/src/frontend/connection.rs
+++ b/crates/node/src/frontend/connection.rs
@@ -55,7 +55,7 @@
     /// Serial number of that connection, which tells whether the key still stands for the same one.
     pub(crate) client_serial: u64,
     /// Number of the response among those of the connection.
-    pub(crate) slot: u64,
+    pub(crate) response_number: u64,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -99,15 +99,15 @@
     pub(crate) out: WriteQueue,
     pub(crate) responses: VecDeque<PendingResponse>,
     /// Number of the first of `responses`.
-    first_response: u64,
+    first_response_number: u64,
     /// The kernel may hold unread input.
     unread: bool,
     /// The end of the client's input has been read.
     input_ended: bool,
     /// The earliest time at which the known end of the client's input can have come.
-    end_since: Option<Micros>,
+    input_end_since: Option<Micros>,
     /// A timer is set for the end of the client's input.
-    end_reported: bool,
+    input_end_reported: bool,
     closing: Closing,
     /// Since when a request has been incomplete.
     partial_since: Option<Micros>,
@@ -146,11 +146,11 @@
             reader,
             out: WriteQueue::default(),
             responses: VecDeque::new(),
-            first_response: 0,
+            first_response_number: 0,
             unread: true,
             input_ended: false,
-            end_since: None,
-            end_reported: false,
+            input_end_since: None,
+            input_end_reported: false,
             closing: Closing::No,
             partial_since: None,
             stalled_since: None,
@@ -166,26 +166,26 @@
     pub(crate) fn input_available(&mut self, closed: bool, since: Micros) {
         self.unread = true;
         if closed {
-            self.observe_end(since);
+            self.observe_input_end(since);
         }
     }
 
     /// The end of the client's input is in the kernel, and has come at `since` at the earliest.
-    pub(crate) fn observe_end(&mut self, since: Micros) {
-        self.end_since = Some(self.end_since.map_or(since, |known| known.min(since)));
+    pub(crate) fn observe_input_end(&mut self, since: Micros) {
+        self.input_end_since = Some(self.input_end_since.map_or(since, |known| known.min(since)));
     }
 
     /// The time of the end of the client's input, once, when it has become known.
-    pub(crate) fn take_observed_end(&mut self) -> Option<Micros> {
-        let since = self.end_since.filter(|_| !self.end_reported)?;
-        self.end_reported = true;
+    pub(crate) fn take_observed_input_end(&mut self) -> Option<Micros> {
+        let since = self.input_end_since.filter(|_| !self.input_end_reported)?;
+        self.input_end_reported = true;
         Some(since)
     }
 
     /// Whether no attempt may be started for this client any more: it has disconnected, or has half-closed the connection
     /// for long enough. Which of the two shows only when something is written to it.
     pub(crate) fn is_disconnected(&self, now: Micros) -> bool {
-        self.end_since
+        self.input_end_since
             .is_some_and(|since| now - since >= MAX_HALF_CLOSED_TIME)
     }
 
@@ -210,10 +210,10 @@
             return ClientInput::Nothing;
         }
         loop {
-            if !self.takes_requests() {
+            if !self.accepts_requests() {
                 return ClientInput::Nothing;
             }
-            match self.parse(budget) {
+            match self.parse_request(budget) {
                 ClientInput::Nothing => {}
                 malformed @ ClientInput::Malformed { .. } => return malformed,
                 input => {
@@ -223,7 +223,7 @@
                     return input;
                 }
             }
-            if !self.unread || !self.read(now, scratch) {
+            if !self.unread || !self.read_socket(now, scratch) {
                 break;
             }
         }
@@ -236,7 +236,7 @@
         ClientInput::Nothing
     }
 
-    fn takes_requests(&self) -> bool {
+    fn accepts_requests(&self) -> bool {
         // Nothing is taken behind a long value that is being streamed: if it breaks off, the connection must end, and a
         // request taken behind it could not be answered.
         self.closing == Closing::No
@@ -246,7 +246,7 @@
     }
 
     /// Parses what has been read so far.
-    fn parse(&mut self, budget: &mut ByteBudget) -> ClientInput {
+    fn parse_request(&mut self, budget: &mut ByteBudget) -> ClientInput {
         match &mut self.reader {
             Reader::Resp2(reader) => match reader.next(&mut self.buf, budget) {
                 Ok(command) => command.map_or(ClientInput::Nothing, ClientInput::Command),
@@ -268,7 +268,7 @@
     }
 
     /// Reads from the socket once; false if there is nothing new to parse.
-    fn read(&mut self, now: Micros, scratch: &mut [u8]) -> bool {
+    fn read_socket(&mut self, now: Micros, scratch: &mut [u8]) -> bool {
         match fill(&mut self.stream, &mut self.buf, scratch) {
             ReadOutcome::More => true,
             ReadOutcome::Empty => {
@@ -277,7 +277,7 @@
             }
             ReadOutcome::Closed | ReadOutcome::Failed => {
                 (self.unread, self.input_ended) = (false, true);
-                self.end_since.get_or_insert(now);
+                self.input_end_since.get_or_insert(now);
                 false
             }
         }
@@ -323,12 +323,12 @@
     /// Appends a response and returns its number.
     pub(crate) fn push_response(&mut self, response: PendingResponse) -> u64 {
         self.responses.push_back(response);
-        self.first_response + self.responses.len() as u64 - 1
+        self.first_response_number + self.responses.len() as u64 - 1
     }
 
     /// The response with this number, unless it has been queued for writing.
     pub(crate) fn response_mut(&mut self, number: u64) -> Option<&mut PendingResponse> {
-        let index = usize::try_from(number.checked_sub(self.first_response)?).ok()?;
+        let index = usize::try_from(number.checked_sub(self.first_response_number)?).ok()?;
         self.responses.get_mut(index)
     }
 
@@ -339,7 +339,7 @@
                 self.out.push(chunk);
             }
             self.responses.pop_front();
-            self.first_response += 1;
+            self.first_response_number += 1;
         }
     }
 
@@ -373,7 +373,7 @@
 
     /// Closes the connection behind the bytes that are queued already, and returns the responses that cannot be given on it.
     pub(crate) fn cancel_responses(&mut self) -> VecDeque<PendingResponse> {
-        self.first_response += self.responses.len() as u64;
+        self.first_response_number += self.responses.len() as u64;
         self.close_after_responses();
         std::mem::take(&mut self.responses)
     }
--- a/crates/node/src/frontend/connection_tests.rs
+++ b/crates/node/src/frontend/connection_tests.rs
@@ -53,13 +53,16 @@
 #[test]
 fn half_closed_client_counts_as_disconnected_well_within_the_bound() {
     let (mut client, stream) = client();
-    assert!(!client.is_disconnected(1 << 50) && client.take_observed_end().is_none());
+    assert!(!client.is_disconnected(1 << 50) && client.take_observed_input_end().is_none());
     client.input_available(true, 50 * MS);
     // It was there earlier, as is found out later.
-    client.observe_end(40 * MS);
-    client.observe_end(60 * MS);
+    client.observe_input_end(40 * MS);
+    client.observe_input_end(60 * MS);
     assert_eq!(
-        (client.take_observed_end(), client.take_observed_end()),
+        (
+            client.take_observed_input_end(),
+            client.take_observed_input_end()
+        ),
         (Some(40 * MS), None)
     );
     let by = 40 * MS + MAX_HALF_CLOSED_TIME;
--- a/crates/node/src/frontend/disconnects.rs
+++ b/crates/node/src/frontend/disconnects.rs
@@ -36,14 +36,14 @@
     /// Connections that are accepted now are no older than this.
     accepts_since: Micros,
     /// Serial of the newest client at the last poll.
-    newest_polled: u64,
+    newest_polled_serial: u64,
     /// Events found in the middle of a round, for the next one; one for each socket (and client), which bounds them.
     deferred: BTreeMap<(Token, u64), ReadyEvent>,
 }
 
 impl SocketFreshness {
     /// The event loop has nothing left to do until `until`; returns until when it may wait.
-    pub(crate) fn loop_idle(&mut self, now: Micros, until: Micros) -> Micros {
+    pub(crate) fn record_idle(&mut self, now: Micros, until: Micros) -> Micros {
         self.idle_since = now;
         if self.deferred.is_empty() {
             until
@@ -59,7 +59,7 @@
 
     /// Whether the last poll is too old for an attempt of the client with this serial.
     pub(crate) fn is_stale(&self, now: impl FnOnce() -> Micros, client_serial: u64) -> bool {
-        client_serial > self.newest_polled || now() - self.next_events_since >= MAX_POLL_AGE
+        client_serial > self.newest_polled_serial || now() - self.next_events_since >= MAX_POLL_AGE
     }
 
     /// Takes the events that were deferred to this round.
@@ -68,7 +68,7 @@
     }
 
     /// The round's poll, which was to wait until `wake`, has returned `events` events. `newest`: serial of the newest client.
-    pub(crate) fn polled(&mut self, now: Micros, wake: Micros, events: usize, newest: u64) {
+    pub(crate) fn record_poll(&mut self, now: Micros, wake: Micros, events: usize, newest: u64) {
         // Guards against a process that got no CPU, and against a long round: events that come at once may have come while
         // the round before was running.
         let has_waited = now - self.idle_since >= MAX_POLL_AGE;
@@ -80,22 +80,22 @@
         // A wait that a signal has interrupted returns nothing, whatever has happened: a stopped process continues with one.
         let is_complete = events > 0 && events < MAX_EVENTS_OF_COMPLETE_POLL;
         self.next_events_since = if is_complete { now } else { self.events_since };
-        self.newest_polled = newest;
+        self.newest_polled_serial = newest;
     }
 
     /// No connection waits to be accepted after this round's poll.
-    pub(crate) fn accept_queues_empty(&mut self) {
+    pub(crate) fn record_empty_accept_queues(&mut self) {
         self.accepts_since = self.events_since;
     }
 
     /// A poll in the middle of a round has found nothing more.
-    pub(crate) fn polled_within_round(&mut self, now: Micros, newest: u64) {
-        (self.next_events_since, self.newest_polled) = (now, newest);
+    pub(crate) fn record_poll_within_round(&mut self, now: Micros, newest: u64) {
+        (self.next_events_since, self.newest_polled_serial) = (now, newest);
     }
 
     /// The earliest time of an end of input that a poll in the middle of a round has found.
-    pub(crate) fn end_since(&self, client_serial: u64) -> Micros {
-        if client_serial > self.newest_polled {
+    pub(crate) fn earliest_input_end(&self, client_serial: u64) -> Micros {
+        if client_serial > self.newest_polled_serial {
             self.accepts_since
         } else {
             self.next_events_since
--- a/crates/node/src/frontend/memcached.rs
+++ b/crates/node/src/frontend/memcached.rs
@@ -20,18 +20,18 @@
     config: MemcachedConfig,
     ledger: IdempotencyLedger,
     /// Begins the request ids of this process; no two processes of any nodes share it.
-    process: u64,
+    request_id_prefix: u64,
     /// Counts the requests to cache servers of this protocol.
-    upstream_requests: u16,
+    upstream_sequence: u16,
 }
 
 /// A write with an idempotency key.
 pub(crate) struct KeyedWrite {
     key: IdempotencyKey,
     /// An earlier request with the same key may have run.
-    earlier_may_have_run: bool,
+    earlier_request_may_have_run: bool,
     /// Attempts of this request that may have run, or are in flight.
-    may_have_run: usize,
+    attempts_may_have_run: usize,
     served: bool,
 }
 
@@ -73,11 +73,11 @@
 
 /// The times at which a request is routed, and whether there is capacity for it.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Admission {
+pub(crate) struct RoutingContext {
     pub(crate) now: Micros,
     pub(crate) unix_time: Micros,
     /// No more requests are accepted now.
-    pub(crate) is_full: bool,
+    pub(crate) is_rejecting: bool,
 }
 
 /// A request with what its route says about it.
@@ -96,18 +96,18 @@
     /// Whether an earlier request with the same idempotency key may have run.
     pub(crate) fn is_retry(&self) -> bool {
         let keyed = self.keyed.as_ref();
-        keyed.is_some_and(|keyed| keyed.earlier_may_have_run)
+        keyed.is_some_and(|keyed| keyed.earlier_request_may_have_run)
     }
 }
 
 impl MemcachedFrontend {
-    pub(crate) fn new(config: MemcachedConfig, process: u64) -> MemcachedFrontend {
+    pub(crate) fn new(config: MemcachedConfig, request_id_prefix: u64) -> MemcachedFrontend {
         let ledger = IdempotencyLedger::new(config.ledger);
         MemcachedFrontend {
             config,
             ledger,
-            process,
-            upstream_requests: 0,
+            request_id_prefix,
+            upstream_sequence: 0,
         }
     }
 
@@ -128,13 +128,13 @@
 
     /// The id of a request; `serial` is unique within the process.
     pub(crate) fn request_id(&self, serial: u64, opaque: u32) -> String {
-        format!("m{:x}.{serial:x}-{opaque:08x}", self.process)
+        format!("m{:x}.{serial:x}-{opaque:08x}", self.request_id_prefix)
     }
 
     /// The number of the next request to a cache server of this protocol.
-    pub(crate) fn next_upstream_request(&mut self) -> u16 {
-        self.upstream_requests = self.upstream_requests.wrapping_add(1);
-        self.upstream_requests
+    pub(crate) fn next_upstream_sequence(&mut self) -> u16 {
+        self.upstream_sequence = self.upstream_sequence.wrapping_add(1);
+        self.upstream_sequence
     }
 
     /// Routes a request, and reserves its idempotency key in the ledger if it has one.
@@ -145,7 +145,7 @@
         &mut self,
         opcode: Opcode,
         request: &memcached::Request,
-        admission: Admission,
+        context: RoutingContext,
     ) -> Result<RoutedRequest, Rejection> {
         let write = opcode.without_quiet() == Opcode::Set;
         let operation = if write {
@@ -163,7 +163,7 @@
         } else {
             None
         };
-        if admission.is_full {
+        if context.is_rejecting {
             return Err(Rejection::Answered(FinalResponse::Busy(0)));
         }
         let mut routed = RoutedRequest {
@@ -178,12 +178,12 @@
         if let Some(key) = idempotency_key {
             routed.fields += ",k=";
             routed.fields += &key;
-            routed.keyed = Some(reserve(
+            routed.keyed = Some(reserve_key(
                 &mut self.ledger,
                 &self.config,
                 route,
                 key,
-                admission,
+                context,
             )?);
         }
         Ok(routed)
@@ -193,15 +193,16 @@
     /// forgotten an earlier one.
     pub(crate) fn start_attempt(&mut self, keyed: &mut KeyedWrite, now: Micros) -> bool {
         let may_start = self.ledger.send(now, &keyed.key);
-        keyed.may_have_run += usize::from(may_start);
+        keyed.attempts_may_have_run += usize::from(may_start);
         may_start
     }
 
     /// An attempt that was counted has ended.
     pub(crate) fn end_attempt(&mut self, keyed: &mut KeyedWrite, status: AttemptStatus) {
         if status.never_ran() {
-            keyed.may_have_run -= 1;
-            let others_may_have_run = keyed.earlier_may_have_run || keyed.may_have_run > 0;
+            keyed.attempts_may_have_run -= 1;
+            let others_may_have_run =
+                keyed.earlier_request_may_have_run || keyed.attempts_may_have_run > 0;
             self.ledger.never_ran(&keyed.key, others_may_have_run);
         }
         // Also if the client has its response already: a duplicate gets the receipt.
@@ -227,21 +228,22 @@
 }
 
 /// Reserves an idempotency key in the ledger.
-fn reserve(
+fn reserve_key(
     ledger: &mut IdempotencyLedger,
     config: &MemcachedConfig,
     route: &Route,
     key: IdempotencyKey,
-    admission: Admission,
+    context: RoutingContext,
 ) -> Result<KeyedWrite, Rejection> {
-    let made = routing::key_timestamp(&key).filter(|_| route.key_source == KeySource::Timestamp);
-    let age = made.map_or(0, |made| admission.unix_time - made);
+    let key_time =
+        routing::key_timestamp(&key).filter(|_| route.key_source == KeySource::Timestamp);
+    let age = key_time.map_or(0, |key_time| context.unix_time - key_time);
     if age < -config.max_clock_skew {
         return Err(Rejection::FutureIdempotencyKey);
     }
     let limits = &config.ledger;
     let is_old = age + config.max_clock_skew >= limits.deduplication_window - limits.margin;
-    let earlier_may_have_run = match ledger.begin(admission.now, &key, is_old) {
+    let earlier_request_may_have_run = match ledger.begin(context.now, &key, is_old) {
         Verdict::New => false,
         Verdict::Repeat { .. } => true,
         Verdict::Served(receipt) => {
@@ -254,8 +256,8 @@
     };
     Ok(KeyedWrite {
         key,
-        earlier_may_have_run,
-        may_have_run: 0,
+        earlier_request_may_have_run,
+        attempts_may_have_run: 0,
         served: false,
     })
 }
--- a/crates/node/src/frontend/resp2.rs
+++ b/crates/node/src/frontend/resp2.rs
@@ -12,8 +12,8 @@
 /// The longest deadline that a client may state, in microseconds; it keeps sums of times far from overflow.
 const MAX_DEADLINE: f64 = 3.6e9;
 /// Arguments of C.GET and C.SET, with the name of the command.
-const GET_ARGUMENTS: usize = 4;
-const SET_ARGUMENTS: usize = 5;
+const GET_WORDS: usize = 4;
+const SET_WORDS: usize = 5;
 
 /// Why a command is no request. The text is that of the error response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -68,7 +68,7 @@
     if !write && !name.eq_ignore_ascii_case(b"C.GET") {
         return Err(CommandError::UnknownCommand);
     }
-    let expected = if write { SET_ARGUMENTS } else { GET_ARGUMENTS };
+    let expected = if write { SET_WORDS } else { GET_WORDS };
     if words.len() != expected {
         return Err(CommandError::ArgumentCount);
     }
--- a/crates/node/src/frontend/response.rs
+++ b/crates/node/src/frontend/response.rs
@@ -37,7 +37,7 @@
 /// Values carry no flags here: read-through cache servers make their values themselves.
 const NO_FLAGS: &[u8] = &[0; 4];
 
-fn bytes(text: &'static str) -> Bytes {
+fn static_bytes(text: &'static str) -> Bytes {
     Bytes::from_static(text.as_bytes())
 }
 
@@ -63,15 +63,15 @@
                 vec![
                     self.encode_value_header(key, value.len()),
                     value,
-                    bytes("\r\n"),
+                    static_bytes("\r\n"),
                 ]
             }
-            FinalResponse::NoValue => vec![bytes("$-1\r\n")],
+            FinalResponse::NoValue => vec![static_bytes("$-1\r\n")],
             FinalResponse::Busy(retry_after) => vec![match millis_rounded_up(retry_after) {
-                0 => bytes("-BUSY\r\n"),
+                0 => static_bytes("-BUSY\r\n"),
                 ms => format!("-BUSY {ms}\r\n").into(),
             }],
-            FinalResponse::Failed => vec![bytes("-ERR failed\r\n")],
+            FinalResponse::Failed => vec![static_bytes("-ERR failed\r\n")],
         }
     }
 
@@ -149,7 +149,7 @@
     /// What follows a value that was streamed.
     pub(crate) fn encode_value_trailer(self) -> Vec<Bytes> {
         match self {
-            RequestProtocol::Resp2 => vec![bytes("\r\n")],
+            RequestProtocol::Resp2 => vec![static_bytes("\r\n")],
             RequestProtocol::Memcached { .. } => Vec::new(),
         }
     }
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -21,22 +21,22 @@
 
 /// The fraction of the memory for the values of writes, which are kept while another attempt may need them: one in eight
 /// (a buffer that grew with its value may be twice its size).
-const VALUE_MEMORY_FRACTION: usize = 8;
+const VALUE_MEMORY_DIVISOR: usize = 8;
 /// Upper bound of the memory for one request with its timers, attempts and the arguments that no budget counts, in bytes.
-const REQUEST_MEMORY: usize = 12 << 10;
+const MAX_REQUEST_MEMORY: usize = 12 << 10;
 /// The fraction of the memory for requests: one in four.
-const REQUEST_MEMORY_FRACTION: usize = 4;
+const REQUEST_MEMORY_DIVISOR: usize = 4;
 
 /// One try to get a response from a server.
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) started: Micros,
     /// When it is abandoned.
-    pub(crate) until: Micros,
+    pub(crate) expires_at: Micros,
     /// Its upstream connection while it is in flight.
     pub(crate) connection: Option<usize>,
     /// The idempotency ledger counts it as one that may have run.
-    pub(crate) counted: bool,
+    pub(crate) counted_in_ledger: bool,
 }
 
 /// The attempt whose long value is being streamed to the client.
@@ -85,7 +85,7 @@
 
 impl PendingRequest {
     /// Whether the value of this attempt is being streamed to the client.
-    pub(crate) fn streams(&self, attempt: usize) -> bool {
+    pub(crate) fn is_streaming(&self, attempt: usize) -> bool {
         self.stream.is_some_and(|stream| stream.attempt == attempt)
     }
 }
@@ -117,8 +117,8 @@
         RequestTable {
             requests: Slab::new(),
             keys: HashMap::new(),
-            value_memory: ByteBudget::new(memory / VALUE_MEMORY_FRACTION),
-            max_in_flight: max_in_flight.min(memory / REQUEST_MEMORY_FRACTION / REQUEST_MEMORY),
+            value_memory: ByteBudget::new(memory / VALUE_MEMORY_DIVISOR),
+            max_in_flight: max_in_flight.min(memory / REQUEST_MEMORY_DIVISOR / MAX_REQUEST_MEMORY),
             longest_deadline,
         }
     }
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -16,7 +16,7 @@
         respond_to: ResponseAddress {
             client: 0,
             client_serial: 1,
-            slot: 0,
+            response_number: 0,
         },
     };
     let parsed = ParsedRequest {
@@ -36,9 +36,9 @@
     request.attempts.push(Attempt {
         server: "s-1".into(),
         started: 0,
-        until: 1_000_000,
+        expires_at: 1_000_000,
         connection: Some(5),
-        counted: false,
+        counted_in_ledger: false,
     });
     request.attempts_in_flight += 1;
     AttemptId {
@@ -64,7 +64,7 @@
 #[test]
 fn closing_a_request_releases_the_memory_of_its_value_once() {
     let (mut table, key) = table_with_write();
-    let limit = (1 << 20) / VALUE_MEMORY_FRACTION;
+    let limit = (1 << 20) / VALUE_MEMORY_DIVISOR;
     assert!(
         !table.value_memory.try_reserve(limit),
         "the value is counted"
