--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -1,10 +1,11 @@
-//! The event loop of the node: the only place where events go into the decision module and actions come out.
+//! The node's event loop: the only place where events are passed to the decision engine and its actions are performed.
 //!
-//! It owns the owners of all state and holds none itself but what orders its rounds. A round polls the sockets, handles what
-//! they report, accepts connections, and handles expired timers; effects that are known at once become events in the engine's
-//! queue. The submodules carry events between two or more owners.
+//! [`Node`] holds the components that own the node's state. Of its own state, it has only what orders the rounds of the loop.
+//! A round polls the sockets, handles the reported events, accepts connections, and handles expired timers. Effects of an
+//! action that are known at once are queued as events for the decision engine. The submodules carry events between two or
+//! more components.
 //!
-//! Gossip messages of other nodes are not received: the decision module has none yet.
+//! Messages from other nodes are not received: the decision module does not use any yet.
 
 mod accepting;
 mod admin;
@@ -40,10 +41,11 @@
 use crate::upstream::pool::{UpstreamContext, UpstreamPools};
 use crate::upstream::probes::Probes;
 
-/// How often stalled and idle connections are checked.
+/// Interval between two checks for stalled and idle connections.
 const SWEEP_INTERVAL: Micros = 100_000;
 
-/// Numbers for clients, requests and probes, which tell whether a reused key still stands for the same one.
+/// Serial numbers of clients, requests and probes. Slab keys are reused; the serial number shows whether a key still refers
+/// to the same object.
 #[derive(Default)]
 struct SerialNumbers {
     last: u64,
@@ -60,7 +62,7 @@
     }
 }
 
-/// A node: serves clients from cache servers, as its decision engine decides.
+/// A node: forwards the requests of its clients to cache servers, as its decision engine decides.
 pub struct Node<N: Transport, M: DecisionEngine = Balancer> {
     io: Io<N>,
     engine: EngineQueue<M>,
@@ -71,7 +73,7 @@
     discovery: Discovery<N::Stream>,
     admin: Admin<N>,
     lifecycle: Lifecycle,
-    /// Present where two processes may serve side by side.
+    /// Present if the listener was inherited, so that two processes of this node may serve at the same time.
     hot_restart: Option<HotRestart>,
     timers: Timers,
     freshness: SocketFreshness,
@@ -80,10 +82,10 @@
 }
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
-    /// Serves until a graceful shutdown is over.
+    /// Serves until a graceful shutdown is complete.
     ///
     /// # Errors
-    /// The system's, if polling fails.
+    /// The system's error if polling fails.
     pub fn run(mut self) -> io::Result<()> {
         while let Some(until) = self.prepare() {
             let wait = (until - self.io.now()).max(0);
@@ -96,14 +98,15 @@
         Ok(())
     }
 
-    /// Does all that can be done without new events. Returns until when nothing more is to be done; none: the node has ended.
+    /// Does all work that needs no new events. Returns the time until which the event loop may wait for events, or `None` if
+    /// the node has stopped.
     pub fn prepare(&mut self) -> Option<Micros> {
         self.handle_engine_events();
         self.flush_clients();
         if self.advance_shutdown() {
             return None;
         }
-        // The timer for a sweep is always set.
+        // A sweep timer is always set, so 0 stands only for clients that still have to be served.
         let next_timer = self
             .timers
             .next()
@@ -112,14 +115,15 @@
         Some(self.freshness.record_idle(self.io.now(), next_timer))
     }
 
-    /// One round: waits for events for at most `wait` microseconds and handles them.
+    /// Runs one round: waits at most `wait` microseconds for events and handles them.
     ///
     /// # Errors
-    /// The system's, if polling fails.
+    /// The system's error if polling fails.
     pub fn run_once(&mut self, wait: Micros) -> io::Result<()> {
         let mut ready = std::mem::take(&mut self.io.ready);
         self.poll(&mut ready, wait)?;
-        // Sockets before timers: on a node without enough CPU a response that came in time must not count as late.
+        // Sockets are handled before timers, so that on a node short of CPU time a response that arrived in time does not
+        // count as late.
         for event in &ready {
             self.handle_ready_event(event);
         }
@@ -135,7 +139,7 @@
         Ok(())
     }
 
-    /// Handles an event of the transport.
+    /// Passes an event of the transport to the component that registered its token.
     fn handle_ready_event(&mut self, event: &ReadyEvent) {
         let now = self.io.now();
         match TokenOwner::of(event.token) {
@@ -160,7 +164,7 @@
         }
     }
 
-    /// Calls the upstream pools with what they use of the node.
+    /// Calls the upstream pools with the parts of the node that they use.
     fn with_upstreams<T>(
         &mut self,
         call: impl FnOnce(&mut UpstreamPools<N::Stream>, &mut UpstreamContext<'_, N>) -> T,
@@ -174,7 +178,8 @@
         call(&mut self.upstreams, &mut context)
     }
 
-    /// Has the decision engine handle all queued events, and performs its actions.
+    /// Passes all queued events to the decision engine and performs the resulting actions. Then writes the collected
+    /// connection steps to the trace, and starts a request to discovery if one is wanted.
     fn handle_engine_events(&mut self) {
         while let Some(event) = self.engine.next_event() {
             let now = self.io.now();
@@ -215,7 +220,7 @@
                 self.force_final_responses();
                 self.sweep_clients(now);
             }
-            // The round that it has begun ends the process.
+            // The timer only ends the wait for events: the next call of `prepare` finds that the node has stopped.
             TimerEvent::Exit => {}
             TimerEvent::Upstream { connection, serial } => {
                 self.upstreams.timer_expired(connection, serial);
@@ -231,7 +236,7 @@
         }
     }
 
-    /// Checks what has no timer of its own.
+    /// Checks everything that has no timer of its own, and sets the timer for the next sweep.
     fn sweep(&mut self, now: Micros) {
         self.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
         let decision = &self.engine.decision;
--- a/crates/node/src/event_loop/accepting.rs
+++ b/crates/node/src/event_loop/accepting.rs
@@ -1,4 +1,4 @@
-//! Accepts clients, and closes idle ones for new ones where slots or descriptors run out.
+//! Accepts client connections. When client slots or descriptors run out, idle connections are closed in favour of new ones.
 
 use std::io::ErrorKind;
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Accepts the connections that wait on a listener, up to the bound of one round.
+    /// Accepts the connections in the accept queue of a listener, at most [`MAX_ACCEPTS_PER_ROUND`] of them.
     pub(super) fn accept_from_listener(&mut self, index: usize) {
         let mut accepted = 0;
         while self.frontends.listeners[index].has_pending_connections
@@ -43,15 +43,15 @@
                 Err(e) if e.kind() == ErrorKind::WouldBlock => {
                     listener.has_pending_connections = false;
                 }
-                // Guards against a lack of descriptors: an edge-triggered poll reports no second time that connections wait,
-                // so they are accepted in the next round, at the latest with the next sweep. An idle upstream connection is
-                // closed for one.
+                // No descriptor is free: an idle upstream connection is closed to free one. If there is none, the listener
+                // stays marked, since an edge-triggered poll does not report the waiting connections again. They are
+                // accepted in the next round, which begins with the next sweep at the latest.
                 Err(e) if is_descriptor_limit(&e) => {
                     if !self.upstreams.close_longest_idle() {
                         return;
                     }
                 }
-                // The client has disconnected while it waited, or a call failed for a moment: the next one may not.
+                // The client disconnected while it waited, or the call failed temporarily: the next accept may succeed.
                 Err(_) => accepted += 1,
             }
         }
@@ -70,7 +70,8 @@
         self.read_client(key);
     }
 
-    /// Whether one more connection may be accepted, and if so, whether it gets a slot. Without one its requests are rejected.
+    /// Makes room for one more connection, if necessary by closing an idle one. Returns `None` if no connection may be
+    /// accepted now, otherwise whether the new connection gets a slot. The requests of a client without a slot are rejected.
     fn reserve_connection(&mut self, now: Micros) -> Option<bool> {
         let max_clients = self.frontends.max_clients;
         if self.frontends.clients.len() < max_clients {
@@ -83,12 +84,12 @@
         has_descriptor.then_some(has_slot)
     }
 
-    /// Whether a slot is free, or can be freed.
+    /// Whether a slot is free, if necessary after closing an idle client.
     fn reserve_slot(&mut self, now: Micros) -> bool {
         self.frontends.occupied_slots() < self.frontends.max_clients || self.free_slot(now)
     }
 
-    /// Whether a client has a slot, possibly only now.
+    /// Whether a client has a slot. A client without one gets one now if a slot is free or can be freed.
     pub(super) fn ensure_slot(&mut self, key: usize, now: Micros) -> bool {
         let client = self.frontends.clients.get(key);
         if client.is_none_or(|client| client.has_slot) {
@@ -101,7 +102,8 @@
         has_slot
     }
 
-    /// Closes the connection of a client without a slot, behind the responses to all its requests.
+    /// Closes the connection of a client without a slot once all its requests have been answered, unless it can get a slot
+    /// now.
     pub(super) fn close_rejected_client(&mut self, key: usize, now: Micros) {
         let is_rejected = |client: &ClientConnection<N::Stream>| {
             !client.has_slot && client.last_request().is_some() && client.is_idle_without_input()
@@ -116,7 +118,8 @@
         }
     }
 
-    /// Frees a slot: of the idle clients, the one that has gone longest without a complete request is closed.
+    /// Frees a slot by closing the idle client that [`Frontends::longest_idle`](crate::frontend::Frontends::longest_idle)
+    /// selects. Returns false if there is none.
     fn free_slot(&mut self, now: Micros) -> bool {
         let Some(key) = self.frontends.longest_idle(true, now) else {
             return false;
@@ -125,7 +128,7 @@
         let has_responses =
             client.partial_request_since().is_none() && client.last_request().is_some();
         if client.is_lingering() || has_responses {
-            // It has its responses; its next request comes on a new connection.
+            // All its requests have been answered: no rejection is needed, and its next request arrives on a new connection.
             self.drop_client(key);
         } else {
             self.close_with_rejection(key);
@@ -133,7 +136,7 @@
         true
     }
 
-    /// Frees the descriptor of a client without a slot.
+    /// Frees a descriptor by closing an idle client without a slot. Returns false if there is none.
     fn close_client_without_slot(&mut self, now: Micros) -> bool {
         let Some(key) = self.frontends.longest_idle(false, now) else {
             return false;
@@ -142,7 +145,7 @@
             self.close_with_rejection(key);
             let client = &mut self.frontends.clients[key];
             client.queue_ready_responses();
-            // Broken or not, it is dropped.
+            // The connection is dropped whether or not writing fails.
             let _ = client.flush(now);
             client.advance_closing(now);
         }
@@ -150,7 +153,8 @@
         true
     }
 
-    /// Closes a client's connection with a rejection, which answers a request that is incomplete or just being written.
+    /// Closes a client's connection. A RESP2 client gets a rejection first, which answers a request that is incomplete or that
+    /// the client is just writing.
     fn close_with_rejection(&mut self, key: usize) {
         let Some(client) = self.frontends.clients.get_mut(key) else {
             return;
--- a/crates/node/src/event_loop/admin.rs
+++ b/crates/node/src/event_loop/admin.rs
@@ -1,4 +1,4 @@
-//! Carries events between the admin interface and the owners that it reports on or controls.
+//! Carries events between the admin interface and the components that it reports on or controls.
 
 use sloewick_decision::api::Micros;
 
@@ -34,7 +34,7 @@
         self.admin.server = Some(server);
     }
 
-    /// Saves a snapshot for the next process, if one is due.
+    /// Saves a snapshot for the next process of this node, if one is due.
     pub(super) fn save_snapshot(&mut self, now: Micros) {
         let hot_restart = self.hot_restart.as_mut().filter(|h| h.is_due(now));
         let Some(hot_restart) = hot_restart.filter(|_| self.lifecycle.saves_snapshots(now)) else {
--- a/crates/node/src/event_loop/attempts.rs
+++ b/crates/node/src/event_loop/attempts.rs
@@ -1,4 +1,4 @@
-//! Starts, confirms, abandons and ends attempts: between the request table and the upstream pools.
+//! Starts, confirms, abandons and ends attempts: updates the request table and drives the upstream pools.
 
 use sloewick_decision::api::{AttemptOutcome, Event, Micros, RequestId, ServerId, Status};
 
@@ -14,7 +14,7 @@
 use crate::upstream::request::{encode_memcached, encode_resp2, fits_memcached};
 use crate::upstream::response::AttemptResult;
 
-/// Whether an attempt of a request may start at a server of this protocol, with this much time left.
+/// Whether an attempt of `request` may start at a server that speaks `protocol`, with `wait` as its timeout.
 fn may_start(request: &PendingRequest, protocol: Protocol, wait: Micros) -> bool {
     let is_over = request.closed || request.attempts_stopped || request.stream.is_some();
     let is_encodable = protocol == Protocol::Resp2 || fits_memcached(request);
@@ -22,7 +22,8 @@
 }
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
-    /// Starts an attempt of a request. If that is not possible, the attempt ends at once as not sent.
+    /// Starts an attempt of a request. If that is not possible, the attempt ends at once, with a status that says that it
+    /// never ran. `timeout`: `None` stands for the request's deadline, which always applies.
     pub(super) fn start_attempt(
         &mut self,
         id: &RequestId,
@@ -33,7 +34,8 @@
         let Some(key) = self.requests.key_of(id) else {
             return;
         };
-        // First: polling may bring a list that changes the server's address.
+        // Must come before the server is looked up: the check may poll the sockets, and an endpoint list that arrives may
+        // change the server's address.
         let is_connected = self.is_client_connected(self.requests[key].respond_to);
         let protocol = self.upstreams.protocol(server);
         let request = &mut self.requests[key];
@@ -44,7 +46,8 @@
             attempt,
         };
         let remaining = request.deadline - now;
-        // Guards against servers working for nobody: they get this time as the deadline and drop what has expired.
+        // The server gets this time as the deadline and drops the request when it expires, so that no server works on a
+        // request whose client has stopped waiting.
         let wait = timeout.unwrap_or(remaining).min(remaining);
         request.attempts.push(Attempt {
             server: server.clone(),
@@ -56,7 +59,7 @@
         request.attempts_in_flight += 1;
         let may_start = may_start(request, protocol, wait);
         if !is_connected {
-            // Before the outcome, or the decision engine would start another attempt.
+            // Must come before the outcome, or else the decision engine would start another attempt.
             self.stop_attempts(key);
         }
         if !may_start || !is_connected || !self.count_attempt_in_ledger(key, attempt, now) {
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Encodes a request for its server.
+    /// Encodes a request for its server. `wait` is the deadline that a RESP2 server gets.
     fn encode_request(&mut self, key: usize, protocol: Protocol, wait: Micros) -> EncodedRequest {
         match protocol {
             Protocol::Resp2 => encode_resp2(&self.requests[key], wait),
@@ -88,9 +91,9 @@
         }
     }
 
-    /// Writes the attempts whose connections were established in this round, or abandons them: meanwhile the client may have
-    /// disconnected, the request have ended, the server be draining or have moved. Called when all events of the round have
-    /// been handled.
+    /// Writes the attempts whose connections were established in this round, or abandons them if they must not start any
+    /// more: while the connection was being opened, the client may have disconnected, the request may have ended, or the
+    /// server may have started draining or changed its address. Called when all events of the round have been handled.
     pub(super) fn write_confirmed_attempts(&mut self) {
         while let Some((connection, exchange)) = self.upstreams.next_established() {
             let now = self.io.now();
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Abandons an attempt in flight, unless its value is being streamed.
+    /// Abandons an attempt in flight and ends it with `status`, unless its value is being streamed.
     pub(super) fn abandon_attempt(&mut self, key: usize, attempt: usize, status: Status) {
         let now = self.io.now();
         let Some(request) = self.requests.get(key) else {
@@ -134,7 +137,7 @@
             return;
         };
         let may_have_run = self.upstreams.abandon(connection, now);
-        // If its last byte was never written, it cannot have run, and the timeout says nothing about the server.
+        // If its last byte was never written, the attempt cannot have run, and the timeout must not count against the server.
         let status = if status == Status::Timeout && !may_have_run {
             Status::NotSent
         } else {
@@ -143,7 +146,7 @@
         self.end_attempt(key, attempt, AttemptResult::of(status));
     }
 
-    /// Reports the end of an attempt to the decision engine; each attempt ends once.
+    /// Reports the end of an attempt to the decision engine. Called exactly once for each attempt.
     pub(super) fn end_attempt(&mut self, key: usize, attempt: usize, result: AttemptResult) {
         let now = self.io.now();
         let request = &mut self.requests[key];
--- a/crates/node/src/event_loop/clients.rs
+++ b/crates/node/src/event_loop/clients.rs
@@ -1,4 +1,4 @@
-//! Carries requests from the client connections to the request table, and responses back.
+//! Carries requests from client connections to the request table, and responses back.
 
 use std::collections::VecDeque;
 
@@ -16,7 +16,8 @@
 use crate::transport::{ReadyEvent, Transport, MAX_READ};
 use crate::upstream::response::AttemptResult;
 
-/// Bytes of a long value that wait for its client; beyond it the server is held back.
+/// While this many bytes of a streamed value, or more, wait to be written to the client, no more is read from the server, which
+/// slows the server down.
 const MAX_UNSENT_STREAM_BYTES: usize = MAX_READ;
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
@@ -35,7 +36,7 @@
         self.read_client(key);
     }
 
-    /// Reads and accepts the requests of a client.
+    /// Reads the requests of a client and handles them.
     pub(super) fn read_client(&mut self, key: usize) {
         let now = self.io.now();
         while let Some(client) = self.frontends.clients.get_mut(key) {
@@ -54,8 +55,8 @@
         self.close_rejected_client(key, now);
     }
 
-    /// Whether a request that arrives now is rejected, before anything else is checked: the node is at its limits, its client
-    /// has disconnected, or the node is about to end. Nothing has run, so a retry is harmless.
+    /// Whether a request that arrives now is rejected before anything else is checked, because the node is at a limit, the
+    /// client has disconnected, or the node is about to stop. Nothing of the request has run, so a retry is harmless.
     pub(super) fn rejects_requests(&mut self, client: usize, now: Micros) -> bool {
         let connection = self.frontends.clients.get(client);
         self.requests.is_full()
@@ -64,7 +65,8 @@
             || !self.ensure_slot(client, now)
     }
 
-    /// Closes a client's connection with an error, behind the responses to its earlier requests.
+    /// Closes a client's connection with an error response, after the responses to its earlier requests. `respond_to`: the
+    /// memcached request that the error refers to, if one was recognised.
     pub(super) fn close_with_error(
         &mut self,
         key: usize,
@@ -86,7 +88,7 @@
                 header.status,
                 reason,
             ),
-            // No request is recognisable that a response could belong to.
+            // No request was recognised that a response could refer to.
             (Protocol::Memcached, None) => {}
         }
         client.push_response(PendingResponse::Ready(vec![out.into()]));
@@ -102,7 +104,7 @@
         }
     }
 
-    /// The response to a command that is known at once; none: the command was accepted as a request.
+    /// Returns the response to a command that is answered at once, or `None` if the command was accepted as a request.
     fn respond_or_accept(
         &mut self,
         client: usize,
@@ -138,7 +140,7 @@
         None
     }
 
-    /// Accepts a request: from now on it is owed one final response.
+    /// Accepts a request. From now on it needs exactly one final response.
     pub(super) fn accept_request(
         &mut self,
         client: usize,
@@ -146,7 +148,7 @@
         parsed: ParsedRequest,
         now: Micros,
     ) {
-        // During a shutdown no more time is left than that.
+        // During a shutdown, the client's budget ends when the last final responses are given.
         let remaining = self.lifecycle.respond_by().saturating_sub(now);
         request.budget = request.budget.min(remaining);
         let Some(connection) = self.frontends.clients.get_mut(client) else {
@@ -170,7 +172,7 @@
         self.engine.push(Event::Request(request));
     }
 
-    /// Drops a client that has disconnected, and cancels its requests.
+    /// Removes a client's connection, which closes it, and cancels its requests.
     pub(super) fn drop_client(&mut self, key: usize) {
         let Some(mut client) = self.frontends.clients.try_remove(key) else {
             return;
@@ -179,7 +181,7 @@
         self.cancel_requests(client.cancel_responses());
     }
 
-    /// Cancels the requests whose responses cannot be given any more.
+    /// Cancels the requests whose responses can no longer be delivered.
     pub(super) fn cancel_requests(&mut self, responses: VecDeque<PendingResponse>) {
         for response in responses {
             match response {
@@ -205,7 +207,8 @@
         self.remove_finished(key);
     }
 
-    /// Cancels a request whose value is being streamed. The decision engine does not cancel such an attempt itself.
+    /// Cancels a request whose value is being streamed. The attempt is ended here, since the decision engine does not cancel
+    /// a streaming attempt itself.
     fn cancel_stream(&mut self, key: usize, connection: usize) {
         let Some(request) = self.requests.get(key) else {
             return;
@@ -219,7 +222,7 @@
         self.end_attempt(key, stream.attempt, AttemptResult::of(Status::Cancelled));
     }
 
-    /// Serves the clients that were marked in this round: writes their responses and reads their requests.
+    /// Serves the clients that were marked as dirty: writes their responses and reads their requests.
     pub(super) fn flush_clients(&mut self) {
         for key in self.frontends.take_dirty() {
             let now = self.io.now();
@@ -243,12 +246,12 @@
             if client.advance_closing(now) {
                 self.drop_client(key);
             }
-            // Events of this client are handled before those of the next one.
+            // The decision engine handles the events of this client before those of the next one.
             self.handle_engine_events();
         }
     }
 
-    /// Writes what has arrived of a long value to its client, no more than the client takes.
+    /// Forwards the received bytes of a streamed value to its client, only as fast as the client reads them.
     fn stream_value(&mut self, key: usize) {
         loop {
             let Some(client) = self.frontends.clients.get_mut(key) else {
@@ -290,7 +293,8 @@
         }
     }
 
-    /// Closes clients that are stalled or too slow.
+    /// Closes clients that have stalled or take too long to write a request, and idle ones during an evacuation or shutdown.
+    /// Clients with unwritten bytes and lingering ones are marked as dirty, to be served again.
     pub(super) fn sweep_clients(&mut self, now: Micros) {
         let keys: Vec<usize> = self.frontends.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
--- a/crates/node/src/event_loop/disconnects.rs
+++ b/crates/node/src/event_loop/disconnects.rs
@@ -1,5 +1,5 @@
-//! Keeps attempts from starting for clients that have disconnected: polls the sockets before an attempt if the last poll is
-//! too old. See [`SocketFreshness`](crate::frontend::disconnects::SocketFreshness).
+//! Prevents attempts for clients that have disconnected: if the last poll is too old, the sockets are polled again before an
+//! attempt starts. See [`SocketFreshness`](crate::frontend::disconnects::SocketFreshness).
 
 use sloewick_decision::api::{Event, Micros, Status};
 
@@ -12,7 +12,8 @@
 use crate::transport::{ReadyEvent, Token, Transport};
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
-    /// Waits for events; those that were found in the middle of the previous round come first.
+    /// Polls the sockets into `ready`, waiting at most `wait` microseconds. Then handles the events that were deferred in the
+    /// previous round, which come before those in `ready`; if there are any, the poll does not wait.
     pub(super) fn poll(
         &mut self,
         ready: &mut Vec<ReadyEvent>,
@@ -37,7 +38,7 @@
         Ok(())
     }
 
-    /// The serial of the client that a token stands for; 0 for all other tokens.
+    /// Serial number of the client that a token refers to; 0 for all other tokens.
     fn client_serial_of(&self, token: Token) -> u64 {
         match TokenOwner::of(token) {
             TokenOwner::Client(key) => {
@@ -48,13 +49,13 @@
         }
     }
 
-    /// Polls all sockets in the middle of a round: ends of clients are known from now on, all other events are deferred to the
-    /// next round.
+    /// Polls all sockets in the middle of a round. The ends of clients' input are recorded and events of discovery are handled
+    /// at once; all other handling is deferred to the next round.
     fn poll_within_round(&mut self) {
         let mut ready = Vec::new();
         for _ in 0..MAX_POLLS_WITHIN_ROUND {
             let now = self.io.now();
-            // If polling fails, the next round reports it.
+            // A failure of polling is reported by the next round.
             if self.io.net.poll(&mut ready, 0).is_err() || ready.is_empty() {
                 self.freshness
                     .record_poll_within_round(now, self.serials.last());
@@ -67,7 +68,7 @@
     }
 
     fn defer_event(&mut self, event: &ReadyEvent) {
-        // Not deferred: by the next round the token may stand for another request.
+        // Handled at once: by the next round the token may stand for the connection of another request.
         if event.token == DISCOVERY {
             return self.handle_ready_event(event);
         }
@@ -75,7 +76,7 @@
             let client = self.frontends.clients.get_mut(key);
             if let Some(client) = client.filter(|_| event.read_closed) {
                 let since = self.freshness.earliest_input_end(client.serial);
-                // After a reset nobody reads the response.
+                // After a reset the client reads no response, so it counts as disconnected at once.
                 let backdated_by = if event.error { MAX_HALF_CLOSED_TIME } else { 0 };
                 client.observe_input_end(since - backdated_by);
             }
@@ -84,7 +85,8 @@
         self.freshness.defer(event, serial);
     }
 
-    /// Whether an attempt may start for this client now.
+    /// Whether the client of a response is connected, so that an attempt may start for it now. Polls the sockets first if the
+    /// last poll is too old.
     pub(super) fn is_client_connected(&mut self, to: ResponseAddress) -> bool {
         if self.freshness.is_stale(|| self.io.now(), to.client_serial) {
             self.poll_within_round();
@@ -94,7 +96,8 @@
         connection.is_some_and(|connection| !connection.is_disconnected(now))
     }
 
-    /// Sets a timer for a client whose end has become known: its unwritten attempts are abandoned a little later.
+    /// When a client's input is found to have ended, sets the timer at which the client counts as disconnected and its
+    /// unwritten attempts are abandoned.
     pub(super) fn set_disconnect_timer(&mut self, key: usize) {
         let Some(client) = self.frontends.clients.get_mut(key) else {
             return;
@@ -108,8 +111,9 @@
         }
     }
 
-    /// A client has ended its sending some time ago, or has disconnected: requests without an attempt are answered at once. A
-    /// client that still reads has its final response by that; writing it shows whether there is one.
+    /// Stops the attempts of a client that has disconnected, or ended its sending some time ago. Its requests without an
+    /// attempt in flight are answered at once: a client that still reads gets its final response, and writing it shows
+    /// whether the client is still there.
     pub(super) fn stop_attempts_of_client(&mut self, client: usize) {
         let connection = self.frontends.clients.get(client);
         let waiting = connection.map(ClientConnection::waiting_requests);
@@ -118,7 +122,8 @@
         }
     }
 
-    /// Starts no further attempt for a request; those in flight may still answer it.
+    /// Prevents further attempts for a request. Attempts that have been written may still answer it; unwritten ones are
+    /// abandoned.
     pub(super) fn stop_attempts(&mut self, key: usize) {
         let request = self.requests.get_mut(key);
         let Some(request) = request.filter(|r| !r.closed && r.stream.is_none()) else {
@@ -127,12 +132,12 @@
         if std::mem::replace(&mut request.attempts_stopped, true) {
             return;
         }
-        // Before the outcomes: the decision engine must not start another attempt for them.
+        // Must come before the outcomes of the abandoned attempts, or else the decision engine would start other attempts.
         self.engine.push(Event::StopAttempts(request.id.clone()));
         self.abandon_unwritten_attempts(key);
     }
 
-    /// Abandons the attempts of a request of which nothing has been written.
+    /// Abandons those attempts of a request of which no byte has been written.
     pub(super) fn abandon_unwritten_attempts(&mut self, key: usize) {
         let request = self.requests.get(key);
         let attempts = request.map_or(0, |request| request.attempts.len());
--- a/crates/node/src/event_loop/disconnects_tests.rs
+++ b/crates/node/src/event_loop/disconnects_tests.rs
@@ -1,4 +1,5 @@
-//! A node whose clock advances with each reading, as on a node with a small share of a core: rounds are long.
+//! Tests a node whose clock advances each time it is read. This simulates a node with a small share of a CPU core, on which
+//! rounds take long.
 
 use std::cell::RefCell;
 use std::io::{self, ErrorKind, IoSlice};
@@ -12,25 +13,25 @@
 use crate::test_support::{config_text, connected, input_ended, DISCOVERY_AT};
 use crate::transport::{PendingSignals, Stream};
 
-/// How long after a disconnect attempts may start at most.
+/// The time after a disconnect within which attempts for the client may still start.
 const MAX_DELAY: Micros = 100_000;
 const REQUESTS: usize = 100;
 
-/// What the one client has done, and the attempts and responses that followed.
+/// The state of the simulated network: the actions of the one client, and the attempts and responses that followed.
 #[derive(Default)]
 struct NetworkState {
     now: Micros,
-    /// How far the clock advances with each reading.
+    /// How far the clock advances each time it is read.
     clock_step: Micros,
-    /// The client's connection waits to be accepted.
+    /// The client's connection is waiting to be accepted.
     connection_pending: bool,
-    /// Its token, once accepted.
+    /// Token of the client's connection; `None` until it is accepted.
     client: Option<Token>,
     commands: Vec<u8>,
     disconnects_at: Micros,
     resets: bool,
     end_is_reported: bool,
-    /// Connections to servers that come up with the next poll.
+    /// Connections to servers that the next poll reports as established.
     connecting: Vec<Token>,
     /// When attempts started.
     attempt_times: Vec<Micros>,
@@ -181,7 +182,7 @@
     fn log(&mut self, _line: &str) {}
 }
 
-/// A hundred requests for values.
+/// [`REQUESTS`] encoded requests for values.
 fn requests() -> Vec<u8> {
     let mut out = Vec::new();
     for n in 0..REQUESTS {
@@ -194,7 +195,8 @@
     out
 }
 
-/// When attempts start for a client that sends a hundred requests and disconnects this long after the first of them.
+/// Runs a node for a client that sends [`REQUESTS`] requests at once and disconnects `disconnects_after` microseconds later.
+/// Returns the state of the network, with the times at which attempts started, and the time of the disconnect.
 fn attempt_times(
     clock_step: Micros,
     disconnects_after: Micros,
@@ -247,7 +249,7 @@
             .collect();
         assert!(
             baseline.len() >= REQUESTS,
-            "all requests of a client that stays are forwarded"
+            "all requests of a client that stays connected are forwarded"
         );
         for resets in [false, true] {
             for disconnects_after in [
--- a/crates/node/src/event_loop/dispatch.rs
+++ b/crates/node/src/event_loop/dispatch.rs
@@ -11,6 +11,7 @@
 use crate::upstream::request::{encode_memcached_probe, encode_resp2_probe};
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
+    /// Performs one action.
     pub(super) fn perform_action(&mut self, action: Action, now: Micros) {
         match action {
             Action::Send {
@@ -40,7 +41,7 @@
         }
     }
 
-    /// Gives a request the final response that the decision engine has decided on.
+    /// Gives a request the final response that the decision engine has chosen, unless the request is closed already.
     fn end_request(&mut self, id: &RequestId, response: FinalResponse) {
         let key = self.requests.key_of(id);
         let Some(key) = key.filter(|key| !self.requests[*key].closed) else {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// A probe has ended.
+    /// Reports the end of a probe request to the decision engine.
     pub(super) fn end_probe(&mut self, serial: u64, status: Status, load: Option<LoadReport>) {
         let Some(probe) = self.probes.remove(serial) else {
             return;
--- a/crates/node/src/event_loop/endpoint_list.rs
+++ b/crates/node/src/event_loop/endpoint_list.rs
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Logs a list that brings something: watches that end without news would fill the log.
+    /// Logs an endpoint list that has entries. Lists without entries, with which a watch ends when nothing has changed, would
+    /// fill the log.
     fn log_endpoint_list(&mut self, list: &EndpointList) {
         if !list.targets.is_empty() {
             let (rev, all, servers) = (list.rev, list.all, list.targets.len());
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Applies a list; `kind`: none for one that has just come from discovery.
+    /// Applies an endpoint list to the address table, the upstream pools and the decision engine. `kind`: `None` for a list
+    /// that discovery has just sent.
     pub(super) fn apply_endpoint_list(
         &mut self,
         mut list: EndpointList,
--- a/crates/node/src/event_loop/memcached_requests.rs
+++ b/crates/node/src/event_loop/memcached_requests.rs
@@ -1,4 +1,5 @@
-//! Carries requests of memcached clients to the frontend's routes and ledger, and on to the request table.
+//! Routes the requests of memcached clients and passes them to the request table, and records their attempts in the
+//! idempotency ledger.
 
 use bytes::Bytes;
 use sloewick_codec::memcached::{self, Opcode, Status};
@@ -29,7 +30,7 @@
         };
         let protocol = RequestProtocol::Memcached { opcode, opaque };
         let chunks = match (request.fault, opcode.without_quiet()) {
-            // Rejected before anything else is checked: nothing has run, so a retry is harmless.
+            // No memory for its value: rejected before anything else is checked. Nothing of it has run, so a retry is harmless.
             (Some(Status::OutOfMemory), _) => protocol.encode(&request.key, FinalResponse::Busy(0)),
             (Some(status), _) => protocol.encode_status(status, None),
             (None, Opcode::Get | Opcode::GetK | Opcode::Set) => {
@@ -57,13 +58,13 @@
         self.respond_at_once(client, chunks, reserved);
     }
 
-    /// Responds to a request that was not accepted, behind the responses to earlier ones.
+    /// Responds to a request that was not accepted, after the responses to earlier requests.
     fn respond_at_once(&mut self, client: usize, chunks: Vec<Bytes>, reserved: usize) {
         self.requests.value_memory.release(reserved);
         self.frontends.push_ready(client, chunks);
     }
 
-    /// The response to STAT: a few statistics, and none if a group of them is asked for by `name`.
+    /// The response to STAT: a few statistics, or an empty list if the client requests a group of statistics by `name`.
     fn encode_statistics(&self, opcode: Opcode, opaque: u32, name: &Bytes) -> Bytes {
         if !name.is_empty() {
             return encode_stat(opcode, opaque, &[]);
@@ -79,7 +80,7 @@
         encode_stat(opcode, opaque, &statistics)
     }
 
-    /// Routes a request and accepts it.
+    /// Routes a request and accepts it; returns the rejection if it cannot be accepted.
     fn route_memcached_request(
         &mut self,
         client: usize,
@@ -120,7 +121,8 @@
         Ok(())
     }
 
-    /// Counts an attempt of a keyed write in the ledger; false: it must not start.
+    /// Counts an attempt of a keyed write in the idempotency ledger. Returns false if the attempt must not start. Attempts of
+    /// all other requests may start.
     pub(super) fn count_attempt_in_ledger(
         &mut self,
         key: usize,
@@ -137,7 +139,7 @@
         may_start
     }
 
-    /// An attempt that the ledger has counted has ended.
+    /// Records the end of an attempt that the idempotency ledger has counted.
     pub(super) fn end_attempt_in_ledger(&mut self, key: usize, status: AttemptStatus) {
         let request = &mut self.requests[key];
         if let (Some(keyed), Some(frontend)) = (&mut request.keyed, &mut self.frontends.memcached) {
@@ -145,7 +147,8 @@
         }
     }
 
-    /// Removes a request that has its final response and no attempt in flight.
+    /// Removes a request that is closed and has no attempt in flight. The end of a keyed write is recorded in the idempotency
+    /// ledger.
     pub(super) fn remove_finished(&mut self, key: usize) {
         let Some(keyed) = self.requests.remove_finished(key).and_then(|r| r.keyed) else {
             return;
--- a/crates/node/src/event_loop/outcomes.rs
+++ b/crates/node/src/event_loop/outcomes.rs
@@ -1,4 +1,4 @@
-//! Carries outcomes from the upstream pools to the request table, and final responses on to the frontends.
+//! Carries outcomes from the upstream pools to the request table, and final responses to the frontends.
 
 use bytes::Bytes;
 use sloewick_decision::api::{Event, Micros, Status};
@@ -16,12 +16,12 @@
 use crate::upstream::response::{final_response, interpret, interpret_probe, AttemptResult};
 use crate::upstream::response_reader::ServerReply;
 
-/// A long value that has begun may go on until its request's deadline, or for the longest deadline, and this much more; after
-/// that it counts as lost. Guards against one that arrives too slowly to ever end.
+/// A streamed value may take until its request's deadline, or for the longest deadline of any class from its start, whichever
+/// is later, plus this margin. After that it counts as lost. Guards against a value that arrives too slowly to ever end.
 const STREAM_TIME_MARGIN: Micros = 500_000;
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
-    /// Handles what has happened on upstream connections.
+    /// Handles the queued events of the upstream connections.
     pub(super) fn handle_upstream_events(&mut self) {
         while let Some(event) = self.upstreams.events.pop_front() {
             match event {
@@ -49,7 +49,7 @@
                         self.frontends.mark_dirty(client);
                     }
                 }
-                // A probe has no client for a long value: it ends by its timeout.
+                // A streamed value in response to a probe has no client that it could go to: the probe ends by its timeout.
                 UpstreamEvent::ValueStarted { .. } | UpstreamEvent::ValueAvailable(_) => {}
                 UpstreamEvent::ProtocolError(server, error) => {
                     self.io.log(&format!("server {server}: {error}"));
@@ -86,7 +86,7 @@
         self.end_attempt(id.request, id.attempt, AttemptResult::of(status));
     }
 
-    /// Gives the final response.
+    /// Gives a request its final response and counts it in the metrics.
     pub(super) fn respond(&mut self, key: usize, response: FinalResponse) {
         let request = &self.requests[key];
         self.admin.metrics.count(request.class, &response);
@@ -94,7 +94,7 @@
         self.respond_encoded(key, chunks);
     }
 
-    /// Gives the final response: no request gets a second one.
+    /// Gives a request its encoded final response and closes it, so that it gets no second one.
     fn respond_encoded(&mut self, key: usize, chunks: Vec<Bytes>) {
         self.requests.close(key);
         let to = self.requests[key].respond_to;
@@ -102,7 +102,8 @@
             .set_response(to, PendingResponse::Ready(chunks));
     }
 
-    /// A long value starts: from now on this attempt gives the response, and the others are cancelled.
+    /// Starts to stream a long value of `len` bytes to the client. Its attempt provides the response from now on, and the
+    /// other attempts of the request are cancelled.
     fn start_stream(&mut self, id: AttemptId, connection: usize, len: usize) {
         if !self.requests.is_in_flight(id) {
             return;
@@ -137,7 +138,7 @@
         self.frontends.set_response(to, stream);
     }
 
-    /// Ends a long value that is not complete when its time is over.
+    /// Ends a streamed value that is still incomplete when its time is over.
     pub(super) fn end_overdue_stream(&mut self, key: usize, attempt: usize, now: Micros) {
         let request = self.requests.get(key);
         let Some(request) = request.filter(|request| request.is_streaming(attempt)) else {
@@ -152,8 +153,8 @@
         self.end_attempt(key, attempt, AttemptResult::of(Status::Reset));
     }
 
-    /// A long value is complete, or has broken off. A client that has got a part of it must see that it is incomplete, which
-    /// only the end of the connection can show.
+    /// Ends a streamed value that is complete or has broken off. A client that has received a part of an incomplete value must
+    /// notice that it is incomplete, which only the end of the connection can show.
     fn end_stream(&mut self, key: usize, is_complete: bool) {
         let request = &self.requests[key];
         let (to, class, protocol) = (request.respond_to, request.class, request.protocol);
@@ -168,7 +169,7 @@
             })
         );
         if is_complete {
-            // Served; the value itself has been streamed.
+            // Counts as served; the value itself has been streamed.
             self.admin.metrics.count(class, &FinalResponse::NoValue);
             self.respond_encoded(key, protocol.encode_value_trailer());
         } else if is_header_pending {
@@ -176,7 +177,8 @@
         } else {
             self.admin.metrics.count(class, &FinalResponse::Failed);
             self.respond_encoded(key, Vec::new());
-            // Not closed at once: with unread requests that would be a reset, which destroys responses under way.
+            // The connection is not closed at once: if unread requests were left, closing would send a reset, which destroys
+            // responses that are still on their way.
             let connection = self.frontends.clients.get_mut(to.client);
             let responses = connection.map(ClientConnection::cancel_responses);
             self.cancel_requests(responses.unwrap_or_default());
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals, reload, and the steps of a graceful shutdown.
+//! Signals, reloads of the configuration, and the steps of a graceful shutdown.
 
 use sloewick_decision::api::{Micros, Status};
 
@@ -36,9 +36,8 @@
         }
     }
 
-    /// Applies the address of discovery of a configuration that was read again. All else stays as it was at the start.
-    ///
-    /// Guards against a file that cannot be used: the node goes on with the previous configuration.
+    /// Applies the discovery address of a reloaded configuration. All other settings keep the values that they had at the
+    /// start. If the file cannot be used, the node continues with the previous configuration.
     fn handle_reload(&mut self, outcome: ReloadOutcome) {
         match outcome {
             ReloadOutcome::Done(config) => {
@@ -57,7 +56,8 @@
         }
     }
 
-    /// The end of a graceful shutdown is near: each open request gets its final response now, so that it is written before.
+    /// Ends the attempts of all open requests when the end of a graceful shutdown is near, so that each request gets its final
+    /// response while there is time to write it. Streamed values continue.
     pub(super) fn force_final_responses(&mut self) {
         for key in self.requests.open_keys() {
             self.stop_attempts(key);
@@ -70,10 +70,10 @@
         }
     }
 
-    /// Advances a graceful shutdown; true when the node has ended.
+    /// Advances a graceful shutdown. Returns true when the node has stopped.
     ///
-    /// Connections are accepted for a while, since a load balancer in front goes on sending them; then the accept queues are
-    /// emptied, idle connections are closed and open requests are answered.
+    /// New connections are accepted for a while, since a load balancer in front of the node goes on sending them. Then the
+    /// accept queues are emptied, idle connections are closed and open requests are answered.
     pub(super) fn advance_shutdown(&mut self) -> bool {
         let now = self.io.now();
         let lifecycle = &self.lifecycle;
@@ -92,8 +92,8 @@
             .is_over(now, !self.frontends.clients.is_empty())
     }
 
-    /// Closes each listener whose accept queue is empty; true if all are closed. Each is closed right behind its last accept:
-    /// the system resets connections that are established between the two.
+    /// Closes each listener whose accept queue is empty. Returns true if all are closed. A listener is closed immediately after
+    /// its last accept, since the system resets connections that are established between the two.
     fn close_listeners(&mut self) -> bool {
         for index in (0..self.frontends.listeners.len()).rev() {
             self.frontends.listeners[index].has_pending_connections = true;
@@ -105,7 +105,8 @@
         self.frontends.listeners.is_empty()
     }
 
-    /// Closes an idle connection, if the node is evacuating or shutting down and it is time for this one.
+    /// Closes a client's connection if it is idle, the node is evacuating or shutting down, and the connection's idle time is
+    /// over.
     pub(super) fn close_idle_client(&mut self, key: usize, now: Micros) {
         let Some(client) = self.frontends.clients.get_mut(key) else {
             return;
@@ -115,7 +116,7 @@
             .closes_idle(now, client.accepted(), client.last_request());
         if closes && client.is_idle_without_input() {
             client.close_after_responses();
-            // At once: a request that arrives between the check and the end of sending would not be answered.
+            // Sending ends at once: a request that arrived between the check and the end of sending would not be answered.
             if client.advance_closing(now) {
                 return self.drop_client(key);
             }
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -36,20 +36,21 @@
 use crate::upstream::probes::Probes;
 
 impl<N: Transport> Node<N> {
-    /// A node that listens and knows the endpoint list of its configuration; [`Node::run`] or [`Node::run_once`] serve.
+    /// Creates a node that listens on its addresses and has applied the endpoint list of its configuration. It serves when
+    /// [`Node::run`] or [`Node::run_once`] is called.
     ///
     /// # Errors
-    /// An address cannot be listened on, or the settings contradict each other.
+    /// The node cannot listen on an address, or its settings contradict each other.
     pub fn new(config: Config, net: N, source: ConfigSource) -> io::Result<Node<N>> {
         Node::with_engine(config, net, source, |balancer| balancer)
     }
 }
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
-    /// A node with the decision engine that `wrap` makes of the balancer.
+    /// Creates a node whose decision engine is the result of `wrap`, which is called with the balancer.
     ///
     /// # Errors
-    /// As [`Node::new`].
+    /// The same as those of [`Node::new`].
     pub fn with_engine(
         config: Config,
         mut net: N,
@@ -76,7 +77,7 @@
             Balancer::new(settings, config.seed, 0).map_err(|e| io::Error::other(e.to_string()))?;
         let decision = wrap(balancer);
         let shares = DescriptorShares::of(config.sockets, admin_server.is_some());
-        // No two processes of any two nodes may give the same request id.
+        // Request ids must be unique among all processes of all nodes.
         let request_id_prefix = config.seed ^ net.unix_time_at_start() as u64;
         let hot_restart = is_inherited
             .then(|| HotRestart::new(config.listen, &config.names, classes, &net.boot_id()));
@@ -117,7 +118,8 @@
     }
 }
 
-/// The client of discovery; without polling, an agent beside the node has lists pushed to it.
+/// Creates the client of discovery. If the settings do not require polling, discovery is an agent beside the node, to which
+/// the lists are pushed.
 fn discovery_client<S: Stream>(config: &Config) -> DiscoveryClient<S> {
     let polls = config.settings.poll;
     let schedule = PollSchedule::new(polls, config.settings.drain_grace, config.phase);
@@ -125,7 +127,7 @@
     DiscoveryClient::new(config.discovery, DISCOVERY, revision, schedule)
 }
 
-/// Number of processes that share the limits of the configuration.
+/// Number of processes that share the limits of the configuration: more than one if the listener is inherited.
 fn processes_per_limit(is_inherited: bool) -> usize {
     if is_inherited {
         PROCESSES_PER_INHERITED_LISTENER
