--- a/crates/node/src/frontend.rs
+++ b/crates/node/src/frontend.rs
@@ -1,7 +1,7 @@
-//! Frontends: they turn the bytes of clients into requests and final responses into bytes.
+//! Frontends: they decode the bytes of clients into requests and encode final responses into bytes.
 //!
-//! This module owns the listeners and the client connections. It knows the order of the responses of each connection, not
-//! what they will be: that is the request table's.
+//! This module owns the listeners and the client connections. It keeps the responses of each connection in order; which
+//! response belongs to which request is recorded in the request table.
 
 pub(crate) mod acceptor;
 pub(crate) mod connection;
@@ -22,11 +22,11 @@
 pub(crate) struct Frontends<N: Transport> {
     pub(crate) listeners: Vec<Listener<N::Listener>>,
     pub(crate) clients: Slab<ClientConnection<N::Stream>>,
-    /// Number of client slots: connections whose requests are served.
+    /// Number of client slots, that is, of connections whose requests are served at the same time.
     pub(crate) max_clients: usize,
-    /// Present where the memcached protocol is switched on.
+    /// Present if the memcached protocol is configured.
     pub(crate) memcached: Option<MemcachedFrontend>,
-    /// Clients that are to be served in this round, each once.
+    /// Keys of the clients that are to be served in this round, without duplicates.
     dirty: Vec<usize>,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Has a client served in this round: its responses are written and its requests are read.
+    /// Schedules a client to be served in this round: its responses are written and its requests are read.
     pub(crate) fn mark_dirty(&mut self, client: usize) {
         if let Some(connection) = self.clients.get_mut(client) {
             if !std::mem::replace(&mut connection.dirty, true) {
@@ -62,7 +62,7 @@
         std::mem::take(&mut self.dirty)
     }
 
-    /// The connection that a response goes to, if it is still there.
+    /// The connection that a response goes to; `None` if it is closed.
     pub(crate) fn connection_for(
         &mut self,
         to: ResponseAddress,
@@ -72,7 +72,7 @@
             .filter(|connection| connection.serial == to.client_serial)
     }
 
-    /// Puts a response in the place that was reserved for it.
+    /// Replaces the pending response at this address.
     pub(crate) fn set_response(&mut self, to: ResponseAddress, response: PendingResponse) {
         if let Some(connection) = self.connection_for(to) {
             if let Some(pending) = connection.response_mut(to.response_number) {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Appends a response that is known at once.
+    /// Appends a response that is complete already.
     pub(crate) fn push_ready(&mut self, client: usize, chunks: Vec<Bytes>) {
         if let Some(connection) = self.clients.get_mut(client) {
             connection.push_response(PendingResponse::Ready(chunks));
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Requests whose responses have not been written completely.
+    /// Number of requests whose responses have not been written completely.
     pub(crate) fn unfinished_responses(&self) -> usize {
         let connections = self.clients.iter().map(|(_, connection)| connection);
         connections
--- a/crates/node/src/frontend/connection.rs
+++ b/crates/node/src/frontend/connection.rs
@@ -1,8 +1,8 @@
-//! Client connections: requests come in, responses go out in the order of the requests.
+//! Client connections: they read requests, and write the responses in the order of the requests.
 //!
-//! Guarantees: a connection takes no further request while [`MAX_PIPELINED_REQUESTS`] wait for their responses or
-//! [`MAX_UNSENT_BYTES`] wait to be read by the client; a client that neither writes nor reads is closed after a bounded time;
-//! a response is never lost to a reset because unread input was left at the close.
+//! Guarantees: no further request of a connection is accepted while [`MAX_PIPELINED_REQUESTS`] requests wait for their
+//! responses, or more than [`MAX_UNSENT_BYTES`] bytes of responses wait to be read by the client; a client that neither writes
+//! nor reads is closed after a bounded time; no response is lost to a reset that is caused by closing with unread input.
 
 use std::collections::VecDeque;
 
@@ -14,32 +14,35 @@
 use sloewick_codec::memcached::{self, ErrorResponse, RequestReader};
 use sloewick_codec::resp2::{ByteBudget, Command, CommandReader};
 
-/// Requests of one connection that may wait for their responses; more stay in the kernel.
+/// Maximum number of requests of one connection that wait for their responses; further requests stay in the kernel.
 const MAX_PIPELINED_REQUESTS: usize = 128;
-/// Bytes of responses that a client has not read; beyond it no more of its requests are taken.
+/// Bytes of responses that a client has not read, above which no more of its requests are accepted.
 const MAX_UNSENT_BYTES: usize = 256 << 10;
-/// A client may take 2 s to write a request; one that does not finish gets an error within 3 s of connecting.
+/// How long a request may stay incomplete. A client may take 2 s to write a request; one that does not finish gets an error
+/// within 3 s of connecting.
 const MAX_REQUEST_TIME: Micros = 2_500_000;
-/// The same for a client that writes nothing; a connection may be closed when it has had no request for 2 s.
+/// How long a new client may send nothing. A connection may be closed when it has had no request for 2 s.
 const MAX_SILENT_TIME: Micros = 2_500_000;
-/// A client that reads none of its responses for so long counts as stalled. It follows from no setting: the time of its
-/// requests is bounded by their own deadlines, and this bounds how long their responses hold memory.
+/// A client that reads none of its responses for this long counts as stalled. The value follows from no setting: the time of
+/// requests is bounded by their own deadlines, and this bounds how long their responses occupy memory.
 const MAX_STALLED_TIME: Micros = 10_000_000;
-/// How long the end of a client's input is taken for a half-close: requests that came before it are forwarded, also if a
-/// connection has to be opened first. What still waits then is not forwarded any more. 0.1 s after a client has closed,
-/// nothing may be forwarded for it, and a node without enough CPU time notices late and sends slowly.
+/// How long the end of a client's input is treated as a half-close: requests that arrived before it are forwarded, even if a
+/// connection has to be opened first. Requests that still wait after this time are no longer forwarded. Later than 0.1 s after
+/// a client has closed its connection, nothing may be forwarded for it, and a node short of CPU time notices the close late and
+/// sends slowly.
 pub(crate) const MAX_HALF_CLOSED_TIME: Micros = 20_000;
-/// How long input is read and discarded after the end of sending: closing with unread input would send a reset, which can
-/// destroy the response under way.
+/// How long input is read and discarded after sending has ended. Closing with unread input would send a reset, which can
+/// destroy a response that is still on its way.
 const MAX_LINGER: Micros = 1_000_000;
 
 /// The response to a request, until it has been queued for writing.
 pub(crate) enum PendingResponse {
-    /// The request with this key is being served.
+    /// The request with this slab key has no final response yet.
     Waiting(usize),
-    /// The response is known.
+    /// The encoded response.
     Ready(Vec<Bytes>),
-    /// A long value is streamed from an upstream connection; its header, until that has been queued.
+    /// A long value is streamed from the upstream connection with the key `connection`. `header`: the encoded header until it
+    /// has been queued for writing.
     Stream {
         request: usize,
         connection: usize,
@@ -52,18 +55,19 @@
 pub(crate) struct ResponseAddress {
     /// Key of the client connection.
     pub(crate) client: usize,
-    /// Serial number of that connection, which tells whether the key still stands for the same one.
+    /// Serial number of that connection, which shows whether the key still refers to it.
     pub(crate) client_serial: u64,
     /// Number of the response among those of the connection.
     pub(crate) response_number: u64,
 }
 
+/// How far the closing of a connection has advanced.
 #[derive(Clone, Copy, PartialEq)]
 enum Closing {
     No,
-    /// No more requests are read; the connection ends when all responses are written.
+    /// No more requests are read; sending ends when all responses are written.
     AfterResponses,
-    /// Sending has ended; input is discarded until then.
+    /// Sending has ended; input is read and discarded until this time.
     Lingering(Micros),
 }
 
@@ -81,16 +85,17 @@
 pub(crate) enum ClientInput {
     Command(Command),
     Request(memcached::Request),
-    /// Nothing complete is there.
+    /// No complete request has been read.
     Nothing,
-    /// The input cannot be parsed any further. `respond_to`: the request that the error belongs to, if one is recognisable.
+    /// The input cannot be parsed any further. `respond_to`: the memcached request that the error refers to, if one was
+    /// recognised.
     Malformed {
         reason: &'static str,
         respond_to: Option<ErrorResponse>,
     },
 }
 
-/// A client's connection.
+/// The connection of a client.
 pub(crate) struct ClientConnection<S> {
     pub(crate) stream: S,
     pub(crate) serial: u64,
@@ -98,33 +103,35 @@
     reader: Reader,
     pub(crate) out: WriteQueue,
     pub(crate) responses: VecDeque<PendingResponse>,
-    /// Number of the first of `responses`.
+    /// Number of the first entry of `responses` among all responses of the connection.
     first_response_number: u64,
     /// The kernel may hold unread input.
     unread: bool,
     /// The end of the client's input has been read.
     input_ended: bool,
-    /// The earliest time at which the known end of the client's input can have come.
+    /// The earliest time at which the end of the client's input can have arrived; `None` while it is not known to have ended.
     input_end_since: Option<Micros>,
-    /// A timer is set for the end of the client's input.
+    /// [`Self::take_observed_input_end`] has returned the end of the input, for which a timer is set.
     input_end_reported: bool,
     closing: Closing,
-    /// Since when a request has been incomplete.
+    /// Since when a request has been incomplete; `None` if no request is.
     partial_since: Option<Micros>,
-    /// Since when responses have waited without being read.
+    /// Since when the client has read none of its waiting responses; `None` if none wait.
     stalled_since: Option<Micros>,
     /// When a request was last read or a response written.
     pub(crate) last_active: Micros,
+    /// When the connection was accepted.
     accepted: Micros,
+    /// When the last complete request was read; `None` if there was none.
     last_request: Option<Micros>,
-    /// It has one of the slots for clients. Without one its requests are rejected.
+    /// Whether the client has a slot. The requests of a client without one are rejected.
     pub(crate) has_slot: bool,
-    /// It is to be served in this round.
+    /// Whether the client is to be served in this round.
     pub(crate) dirty: bool,
 }
 
 impl<S: Stream> ClientConnection<S> {
-    /// `max_value`: longest value of a memcached client, in bytes.
+    /// Creates the connection of a client that was accepted at `now`. `max_value`: longest memcached value, in bytes.
     pub(crate) fn new(
         stream: S,
         serial: u64,
@@ -162,7 +169,8 @@
         }
     }
 
-    /// There is input to read; `closed`: the client has ended its sending behind it, at `since` at the earliest.
+    /// Records that there may be input to read. `closed`: the client has ended its sending after it, at `since` at the
+    /// earliest.
     pub(crate) fn input_available(&mut self, closed: bool, since: Micros) {
         self.unread = true;
         if closed {
@@ -170,26 +178,26 @@
         }
     }
 
-    /// The end of the client's input is in the kernel, and has come at `since` at the earliest.
+    /// Records that the end of the client's input has arrived in the kernel, at `since` at the earliest.
     pub(crate) fn observe_input_end(&mut self, since: Micros) {
         self.input_end_since = Some(self.input_end_since.map_or(since, |known| known.min(since)));
     }
 
-    /// The time of the end of the client's input, once, when it has become known.
+    /// The earliest time of the end of the client's input, if it is known to have ended. Returned only once.
     pub(crate) fn take_observed_input_end(&mut self) -> Option<Micros> {
         let since = self.input_end_since.filter(|_| !self.input_end_reported)?;
         self.input_end_reported = true;
         Some(since)
     }
 
-    /// Whether no attempt may be started for this client any more: it has disconnected, or has half-closed the connection
-    /// for long enough. Which of the two shows only when something is written to it.
+    /// Whether no attempt may be started for this client any more, since it has disconnected, or half-closed the connection
+    /// [`MAX_HALF_CLOSED_TIME`] ago. Only writing to the client can show which of the two has happened.
     pub(crate) fn is_disconnected(&self, now: Micros) -> bool {
         self.input_end_since
             .is_some_and(|since| now - since >= MAX_HALF_CLOSED_TIME)
     }
 
-    /// The requests of this client that have no response yet.
+    /// Slab keys of the requests of this client that have no response yet.
     pub(crate) fn waiting_requests(&self) -> Vec<usize> {
         let waiting = |response: &PendingResponse| match response {
             PendingResponse::Waiting(request) => Some(*request),
@@ -198,7 +206,8 @@
         self.responses.iter().filter_map(waiting).collect()
     }
 
-    /// Reads the next request. None is taken while too much waits: unread input holds the client back.
+    /// Reads the next request. While too many requests or responses wait, none is read: the unread input makes the client stop
+    /// sending.
     pub(crate) fn next_input(
         &mut self,
         now: Micros,
@@ -237,15 +246,15 @@
     }
 
     fn accepts_requests(&self) -> bool {
-        // Nothing is taken behind a long value that is being streamed: if it breaks off, the connection must end, and a
-        // request taken behind it could not be answered.
+        // No request is accepted while a long value is being streamed: if the value breaks off, the connection must end, and
+        // a request accepted after it could not be answered.
         self.closing == Closing::No
             && !self.is_streaming()
             && self.responses.len() < MAX_PIPELINED_REQUESTS
             && self.out.len() <= MAX_UNSENT_BYTES
     }
 
-    /// Parses what has been read so far.
+    /// Parses the next request from the bytes that have been read.
     fn parse_request(&mut self, budget: &mut ByteBudget) -> ClientInput {
         match &mut self.reader {
             Reader::Resp2(reader) => match reader.next(&mut self.buf, budget) {
@@ -267,7 +276,7 @@
         }
     }
 
-    /// Reads from the socket once; false if there is nothing new to parse.
+    /// Reads from the socket once. Returns false if no new bytes were read.
     fn read_socket(&mut self, now: Micros, scratch: &mut [u8]) -> bool {
         match fill(&mut self.stream, &mut self.buf, scratch) {
             ReadOutcome::More => true,
@@ -291,7 +300,7 @@
         in_message || !self.buf.is_empty()
     }
 
-    /// Whether the header of a long value has been queued and its end has not.
+    /// Whether a long value is being streamed: its header has been queued for writing, and the value has not ended.
     fn is_streaming(&self) -> bool {
         matches!(
             self.responses.front(),
@@ -299,7 +308,7 @@
         )
     }
 
-    /// Bytes of the budget that its incomplete request holds.
+    /// Bytes that the incomplete request has reserved in the [`ByteBudget`].
     pub(crate) fn reserved(&self) -> usize {
         match &self.reader {
             Reader::Resp2(reader) => reader.reserved(),
@@ -314,8 +323,8 @@
         }
     }
 
-    /// Whether the connection has failed. The mere end of the client's input does not show whether the client has
-    /// disconnected or only half-closed the connection: until a write fails, its requests are answered.
+    /// Whether the connection has failed. The end of the client's input alone does not show whether the client has
+    /// disconnected or has only half-closed the connection: its requests are answered until a write fails.
     pub(crate) fn has_failed(&self) -> bool {
         matches!(self.stream.take_error(), Ok(Some(_)) | Err(_))
     }
@@ -332,7 +341,7 @@
         self.responses.get_mut(index)
     }
 
-    /// Queues the responses that are next in order and ready.
+    /// Queues complete responses for writing, up to the first one that is not complete.
     pub(crate) fn queue_ready_responses(&mut self) {
         while let Some(PendingResponse::Ready(chunks)) = self.responses.front_mut() {
             for chunk in std::mem::take(chunks) {
@@ -343,13 +352,13 @@
         }
     }
 
-    /// Writes queued bytes.
+    /// Writes as many of the queued bytes as the kernel takes.
     ///
     /// # Errors
-    /// The client has disconnected.
+    /// The connection has failed: the client has disconnected.
     pub(crate) fn flush(&mut self, now: Micros) -> std::io::Result<()> {
         let written = match self.out.flush(&mut self.stream) {
-            // No event tells of a buffer that is free again: the sweep repeats it.
+            // No event reports that a buffer is free again, so the write is repeated by the sweep.
             Err(e) if is_buffer_shortage(&e) => 0,
             flushed => flushed?,
         };
@@ -364,14 +373,15 @@
         Ok(())
     }
 
-    /// Closes the connection once its responses are written.
+    /// Closes the connection once all its responses are written.
     pub(crate) fn close_after_responses(&mut self) {
         if self.closing == Closing::No {
             self.closing = Closing::AfterResponses;
         }
     }
 
-    /// Closes the connection behind the bytes that are queued already, and returns the responses that cannot be given on it.
+    /// Closes the connection after the bytes that are queued already. Returns the pending responses, which can no longer be
+    /// written to it.
     pub(crate) fn cancel_responses(&mut self) -> VecDeque<PendingResponse> {
         self.first_response_number += self.responses.len() as u64;
         self.close_after_responses();
@@ -386,29 +396,30 @@
             && !self.is_mid_message()
     }
 
-    /// Whether it is idle and the kernel holds no input either. Prevents closing a connection on which the next request has
-    /// already arrived.
+    /// Whether the connection is idle and the kernel holds no input. Prevents closing a connection on which the next request
+    /// has already arrived.
     pub(crate) fn is_idle_without_input(&self) -> bool {
         self.is_idle() && self.stream.has_no_input()
     }
 
-    /// Since when a request has been incomplete, unless the connection is closing.
+    /// Since when a request has been incomplete; `None` if no request is, or if the connection is closing or its input has
+    /// ended.
     pub(crate) fn partial_request_since(&self) -> Option<Micros> {
         self.partial_since
             .filter(|_| self.closing == Closing::No && !self.input_ended)
     }
 
-    /// When it was accepted.
+    /// When the connection was accepted.
     pub(crate) fn accepted(&self) -> Micros {
         self.accepted
     }
 
-    /// When its last complete request was read.
+    /// When the last complete request was read; `None` if there was none.
     pub(crate) fn last_request(&self) -> Option<Micros> {
         self.last_request
     }
 
-    /// Requests whose responses have not been written completely.
+    /// Number of requests whose responses have not been written completely.
     pub(crate) fn unfinished_responses(&self) -> usize {
         // A long value that is being streamed stays in `responses` until it is complete.
         self.responses.len() + usize::from(!self.out.is_empty() && !self.is_streaming())
@@ -418,7 +429,7 @@
         self.responses.is_empty() && self.out.is_empty()
     }
 
-    /// Advances the closing of the connection; true when it can be dropped.
+    /// Advances the closing of the connection. Returns true when the connection can be dropped.
     pub(crate) fn advance_closing(&mut self, now: Micros) -> bool {
         match self.closing {
             Closing::Lingering(until) => self.input_ended || now >= until,
@@ -447,10 +458,11 @@
         }
     }
 
-    /// Whether the client reads none of its responses, or has sent nothing since it connected.
+    /// Whether the client has read none of its responses for [`MAX_STALLED_TIME`], or has sent nothing for
+    /// [`MAX_SILENT_TIME`] since it connected.
     ///
-    /// Guards against clients that connect by the hundreds and send nothing: they would hold descriptors until these run
-    /// out, and others would be closed with them. Input that waits unread in the kernel counts as sent.
+    /// Guards against hundreds of clients that connect and send nothing: they would hold descriptors until none is left, and
+    /// other clients would be closed too. Unread input in the kernel counts as sent.
     pub(crate) fn has_stalled(&self, now: Micros) -> bool {
         let is_silent = self.last_request.is_none()
             && now - self.last_active >= MAX_SILENT_TIME
@@ -461,7 +473,8 @@
                 .is_some_and(|since| now - since >= MAX_STALLED_TIME)
     }
 
-    /// Whether the client has taken too long to write a request, and no more of it waits in the kernel.
+    /// Whether the client has taken more than [`MAX_REQUEST_TIME`] to write a request, and the kernel holds no more of the
+    /// request.
     pub(crate) fn is_request_overdue(&self, now: Micros) -> bool {
         let is_late = self
             .partial_since
@@ -469,7 +482,7 @@
         self.closing == Closing::No && is_late && self.stream.has_no_input()
     }
 
-    /// Whether sending has ended and only input is being discarded.
+    /// Whether sending has ended, and input is only read to be discarded.
     pub(crate) fn is_lingering(&self) -> bool {
         matches!(self.closing, Closing::Lingering(_))
     }
--- a/crates/node/src/frontend/connection_tests.rs
+++ b/crates/node/src/frontend/connection_tests.rs
@@ -16,28 +16,31 @@
 }
 
 #[test]
-fn input_after_the_end_of_sending_is_discarded_and_the_connection_ends_in_time() {
+fn input_after_the_end_of_sending_is_discarded_and_lingering_is_bounded() {
     let (mut client, stream) = client();
     client.push_response(PendingResponse::Ready(vec![Bytes::from_static(
         b"+PONG\r\n",
     )]));
     client.close_after_responses();
     client.queue_ready_responses();
-    assert!(!client.advance_closing(0), "its answer comes first");
+    assert!(!client.advance_closing(0), "the response is written first");
     client.flush(0).unwrap();
-    assert!(!client.advance_closing(0), "read out before it is closed");
+    assert!(
+        !client.advance_closing(0),
+        "remaining input is discarded before the close"
+    );
     assert!(stream.0.borrow().output_ended && stream.0.borrow().output == b"+PONG\r\n");
-    // A request that has crossed the end of sending is not forwarded.
+    // A request that arrives after the end of sending is not accepted.
     stream.0.borrow_mut().input.extend(b"*1\r\n$4\r\nPING\r\n");
     client.input_available(false, 0);
     assert!(matches!(next(&mut client, 10 * MS), ClientInput::Nothing));
     assert!(
         stream.has_no_input() && client.responses.is_empty(),
-        "no unread bytes are left, and nothing is owed"
+        "no unread bytes are left, and no response is pending"
     );
     assert!(
         !client.advance_closing(MAX_LINGER - 1) && client.advance_closing(MAX_LINGER),
-        "its client may write on for so long"
+        "the client may go on writing until MAX_LINGER has passed"
     );
     let (mut client, stream) = self::client();
     client.close_after_responses();
@@ -46,16 +49,16 @@
     client.input_available(true, 0);
     assert!(
         matches!(next(&mut client, MS), ClientInput::Nothing) && client.advance_closing(MS),
-        "both sides have ended"
+        "the connection ends when both sides have ended their sending"
     );
 }
 
 #[test]
-fn half_closed_client_counts_as_disconnected_well_within_the_bound() {
+fn half_closed_client_counts_as_disconnected_well_within_100_ms() {
     let (mut client, stream) = client();
     assert!(!client.is_disconnected(1 << 50) && client.take_observed_input_end().is_none());
     client.input_available(true, 50 * MS);
-    // It was there earlier, as is found out later.
+    // The earliest observed end counts, in whichever order the observations come.
     client.observe_input_end(40 * MS);
     client.observe_input_end(60 * MS);
     assert_eq!(
@@ -65,8 +68,10 @@
         ),
         (Some(40 * MS), None)
     );
-    let by = 40 * MS + MAX_HALF_CLOSED_TIME;
-    assert!(!client.is_disconnected(by - 1) && client.is_disconnected(by));
+    let disconnected_at = 40 * MS + MAX_HALF_CLOSED_TIME;
+    assert!(
+        !client.is_disconnected(disconnected_at - 1) && client.is_disconnected(disconnected_at)
+    );
     const { assert!(MAX_HALF_CLOSED_TIME * 4 <= 100_000) };
     // A request before the end is accepted, and its response is written.
     stream.0.borrow_mut().input.extend(b"*1\r\n$4\r\nPING\r\n");
@@ -79,7 +84,10 @@
         b"+PONG\r\n",
     )]));
     assert!(matches!(next(&mut client, 50 * MS), ClientInput::Nothing));
-    assert!(!client.advance_closing(50 * MS), "its answer is owed");
+    assert!(
+        !client.advance_closing(50 * MS),
+        "the response is still pending"
+    );
     client.queue_ready_responses();
     client.flush(50 * MS).unwrap();
     assert!(client.advance_closing(50 * MS) && stream.0.borrow().output == b"+PONG\r\n");
@@ -106,6 +114,6 @@
     assert!(!client.advance_closing(0) && stream.0.borrow().output_ended);
     assert!(
         matches!(next(&mut client, MS), ClientInput::Nothing) && stream.has_no_input(),
-        "nothing unread at the close"
+        "no unread input is left at the close"
     );
 }
--- a/crates/node/src/frontend/memcached.rs
+++ b/crates/node/src/frontend/memcached.rs
@@ -1,7 +1,7 @@
-//! The frontend for clients of the memcached binary protocol: its routes, and the idempotency ledger of their writes.
+//! The frontend for clients of the memcached binary protocol: its routes, and the idempotency ledger of the clients' writes.
 //!
-//! Its state is the ledger and two counters. The ledger guarantees that a write with an idempotency key is not executed again
-//! while cache servers may have forgotten an earlier attempt.
+//! Its state is the ledger and the sequence number of the upstream requests. The ledger guarantees that a write with an
+//! idempotency key is not executed again when cache servers may have forgotten an earlier attempt.
 
 use std::sync::Arc;
 
@@ -19,9 +19,9 @@
 pub(crate) struct MemcachedFrontend {
     config: MemcachedConfig,
     ledger: IdempotencyLedger,
-    /// Begins the request ids of this process; no two processes of any nodes share it.
+    /// Prefix of the request ids of this process, unique among all processes of all nodes.
     request_id_prefix: u64,
-    /// Counts the requests to cache servers of this protocol.
+    /// Sequence number of the last request to a cache server that speaks the memcached protocol.
     upstream_sequence: u16,
 }
 
@@ -30,12 +30,13 @@
     key: IdempotencyKey,
     /// An earlier request with the same key may have run.
     earlier_request_may_have_run: bool,
-    /// Attempts of this request that may have run, or are in flight.
+    /// Number of attempts of this request that may have run or are in flight.
     attempts_may_have_run: usize,
+    /// Whether an attempt of this request was served.
     served: bool,
 }
 
-/// Why a request is answered without being accepted. The text is that of the response.
+/// Why a request is answered without being accepted. The text is sent in the response.
 #[derive(Debug, Error)]
 pub(crate) enum Rejection {
     #[error("the key is not text")]
@@ -51,13 +52,13 @@
     NoIdempotencyKey(KeyError),
     #[error("the idempotency key's time lies in the future")]
     FutureIdempotencyKey,
-    /// The response is known without an attempt.
+    /// The final response is known without an attempt.
     #[error("answered without an attempt")]
     Answered(FinalResponse),
 }
 
 impl Rejection {
-    /// The status of an error response; none where the response is known.
+    /// The status of the error response; `None` for [`Rejection::Answered`], which contains the response.
     pub(crate) fn status(&self) -> Option<Status> {
         match self {
             Rejection::KeyNotText
@@ -71,23 +72,26 @@
     }
 }
 
-/// The times at which a request is routed, and whether there is capacity for it.
+/// When a request is routed, and whether it can be accepted at that time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RoutingContext {
     pub(crate) now: Micros,
+    /// Unix time at `now`, in microseconds.
     pub(crate) unix_time: Micros,
-    /// No more requests are accepted now.
+    /// Whether no request can be accepted now.
     pub(crate) is_rejecting: bool,
 }
 
-/// A request with what its route says about it.
+/// A request with the properties that follow from its route.
 pub(crate) struct RoutedRequest {
     pub(crate) key: Arc<str>,
     pub(crate) class: usize,
     pub(crate) tenant: Option<usize>,
+    /// How long the client is assumed to wait.
     pub(crate) deadline: Micros,
-    /// The field argument for cache servers that speak RESP2.
+    /// The field argument of the request to cache servers that speak RESP2.
     pub(crate) fields: String,
+    /// Set for a write that has an idempotency key.
     pub(crate) keyed: Option<KeyedWrite>,
     pub(crate) write: bool,
 }
@@ -126,21 +130,21 @@
         self.ledger.len()
     }
 
-    /// The id of a request; `serial` is unique within the process.
+    /// The id of a request. `serial` is unique within the process; `opaque` is that of the client's request.
     pub(crate) fn request_id(&self, serial: u64, opaque: u32) -> String {
         format!("m{:x}.{serial:x}-{opaque:08x}", self.request_id_prefix)
     }
 
-    /// The number of the next request to a cache server of this protocol.
+    /// Sequence number of the next request to a cache server that speaks the memcached protocol. It wraps around.
     pub(crate) fn next_upstream_sequence(&mut self) -> u16 {
         self.upstream_sequence = self.upstream_sequence.wrapping_add(1);
         self.upstream_sequence
     }
 
-    /// Routes a request, and reserves its idempotency key in the ledger if it has one.
+    /// Routes a request. If it has an idempotency key, the key is registered in the ledger.
     ///
     /// # Errors
-    /// The request cannot be accepted, or its response is known already.
+    /// The request cannot be accepted, or its final response is known already.
     pub(crate) fn route(
         &mut self,
         opcode: Opcode,
@@ -189,15 +193,15 @@
         Ok(routed)
     }
 
-    /// Counts an attempt of a keyed write as one that may run; false: it must not start, since cache servers may have
-    /// forgotten an earlier one.
+    /// Counts an attempt of a keyed write as one that may run. Returns false if the attempt must not start, since cache servers
+    /// may have forgotten an earlier one.
     pub(crate) fn start_attempt(&mut self, keyed: &mut KeyedWrite, now: Micros) -> bool {
         let may_start = self.ledger.send(now, &keyed.key);
         keyed.attempts_may_have_run += usize::from(may_start);
         may_start
     }
 
-    /// An attempt that was counted has ended.
+    /// Records the end of an attempt that was counted by [`Self::start_attempt`].
     pub(crate) fn end_attempt(&mut self, keyed: &mut KeyedWrite, status: AttemptStatus) {
         if status.never_ran() {
             keyed.attempts_may_have_run -= 1;
@@ -205,18 +209,18 @@
                 keyed.earlier_request_may_have_run || keyed.attempts_may_have_run > 0;
             self.ledger.never_ran(&keyed.key, others_may_have_run);
         }
-        // Also if the client has its response already: a duplicate gets the receipt.
+        // Recorded even if the client has its response already, so that a duplicate of the write gets the receipt.
         keyed.served |= status == AttemptStatus::Ok;
     }
 
-    /// A keyed write has ended, with no attempt in flight.
+    /// Records that a keyed write has ended and has no attempt in flight.
     pub(crate) fn end_write(&mut self, keyed: &KeyedWrite, now: Micros) {
         let receipt = keyed.served.then(Bytes::new);
         self.ledger.finish(now, &keyed.key, receipt);
     }
 }
 
-/// Checks that a SET asks for nothing but a value: what would be dropped silently is rejected.
+/// Rejects a SET with a CAS, flags or an expiration time, which would otherwise be dropped silently.
 fn check_set(request: &memcached::Request) -> Result<(), Rejection> {
     if request.cas != 0 {
         return Err(Rejection::CasNotSupported);
@@ -227,7 +231,10 @@
     Ok(())
 }
 
-/// Reserves an idempotency key in the ledger.
+/// Registers a request with an idempotency key in the ledger.
+///
+/// # Errors
+/// The time in the key is in the future, or the ledger does not allow the request to be forwarded.
 fn reserve_key(
     ledger: &mut IdempotencyLedger,
     config: &MemcachedConfig,
@@ -262,7 +269,7 @@
     })
 }
 
-/// The statistics for STAT: pairs of a name and a value.
+/// Encodes the response to STAT: one packet for each pair of name and value, and an empty one that ends the list.
 pub(crate) fn encode_stat(opcode: Opcode, opaque: u32, statistics: &[(&str, String)]) -> Bytes {
     let mut out = Vec::new();
     let end_of_list = ("", String::new());
--- a/crates/node/src/frontend/resp2.rs
+++ b/crates/node/src/frontend/resp2.rs
@@ -1,4 +1,4 @@
-//! The RESP2 frontend: parses `PING`, `C.GET` and `C.SET` of clients. No state.
+//! The RESP2 frontend: parses the commands `PING`, `C.GET` and `C.SET` of clients. It has no state.
 
 use std::str::from_utf8;
 use std::sync::Arc;
@@ -9,13 +9,14 @@
 use sloewick_decision::settings::Names;
 use thiserror::Error;
 
-/// The longest deadline that a client may state, in microseconds; it keeps sums of times far from overflow.
+/// Longest deadline of a request, in microseconds (one hour). Longer ones are reduced to it, which keeps sums of times far from
+/// overflow.
 const MAX_DEADLINE: f64 = 3.6e9;
-/// Arguments of C.GET and C.SET, with the name of the command.
+/// Number of words of `C.GET` and `C.SET`, including the command's name.
 const GET_WORDS: usize = 4;
 const SET_WORDS: usize = 5;
 
-/// Why a command is no request. The text is that of the error response.
+/// Why a command cannot be parsed or accepted. The text is sent in the error response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum CommandError {
     #[error("unknown command")]
@@ -47,18 +48,18 @@
     }
 }
 
-/// A command.
+/// A parsed command.
 pub(crate) enum ParsedCommand {
-    /// PING, with the text to repeat if there is one.
+    /// `PING`, with the text to send back if there is one.
     Ping(Option<Bytes>),
-    /// C.GET or C.SET.
+    /// `C.GET` or `C.SET`.
     Request(Request),
 }
 
-/// Parses the arguments of a command.
+/// Parses the words of a command.
 ///
 /// # Errors
-/// The command is none that this frontend knows, or its arguments are wrong.
+/// The command is unknown, or its arguments are invalid.
 pub(crate) fn parse_command(words: &[Bytes], names: &Names) -> Result<ParsedCommand, CommandError> {
     let name = words.first().cloned().unwrap_or_default();
     if name.eq_ignore_ascii_case(b"PING") {
@@ -118,14 +119,14 @@
     Ok(request)
 }
 
-/// A finite number that is not negative.
+/// Parses a finite number that is not negative.
 fn parse_number(text: &str) -> Option<f64> {
     text.parse()
         .ok()
         .filter(|n: &f64| n.is_finite() && *n >= 0.0)
 }
 
-/// The response to PING; `available`: whether the node wants clients.
+/// Encodes the response to `PING`. `available`: false if clients are to leave the node.
 pub(crate) fn encode_pong(text: Option<&Bytes>, available: bool) -> Bytes {
     match text {
         None if !available => Bytes::from_static(b"-ERR leaving\r\n"),
--- a/crates/node/src/frontend/resp2_tests.rs
+++ b/crates/node/src/frontend/resp2_tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn malformed_command_gets_the_error_of_its_first_problem() {
+fn malformed_command_is_rejected_with_the_first_error_found() {
     for (words, expected) in [
         (&[][..], CommandError::UnknownCommand),
         (&["GET", "k"][..], CommandError::UnknownCommand),
@@ -51,7 +51,7 @@
         "v",
     ];
     let Ok(ParsedCommand::Request(request)) = parse(&command) else {
-        panic!("no request")
+        panic!("the command is not parsed as a request")
     };
     assert_eq!((&*request.id, request.key.as_deref()), ("r1", Some("k")));
     assert_eq!((request.class, request.tenant), (0, Some(0)));
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn ping_is_answered_with_its_text_or_with_the_availability_of_the_node() {
+fn ping_response_repeats_the_text_or_reports_the_availability_of_the_node() {
     let text = Bytes::from_static(b"hello");
     assert_eq!(&encode_pong(Some(&text), false)[..], b"$5\r\nhello\r\n");
     assert_eq!(&encode_pong(None, true)[..], b"+PONG\r\n");
--- a/crates/node/src/frontend/response.rs
+++ b/crates/node/src/frontend/response.rs
@@ -1,6 +1,6 @@
 //! Encodes final responses in the protocol of the client: RESP2, or the memcached binary protocol.
 //!
-//! Which response a request gets is decided elsewhere; this module has no state.
+//! The module has no state and does not choose the responses.
 
 use bytes::Bytes;
 use sloewick_codec::memcached::{self, Opcode, Response, Status};
@@ -14,27 +14,27 @@
     Memcached,
 }
 
-/// The protocol of a request, with what its response repeats of it.
+/// The protocol of a request, with the fields of the request that its response repeats.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RequestProtocol {
     Resp2,
     Memcached { opcode: Opcode, opaque: u32 },
 }
 
-/// The one final response of a request.
+/// The final response of a request. Each request gets exactly one.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum FinalResponse {
     /// The value, or the receipt of a write.
     Value(Bytes),
     /// Served; the key has no value.
     NoValue,
-    /// Rejected, with the time after which to retry (0: no advice).
+    /// Rejected, with the time after which the client may retry (0: no time is stated).
     Busy(Micros),
     /// Failed; a write may have taken effect.
     Failed,
 }
 
-/// Values carry no flags here: read-through cache servers make their values themselves.
+/// The flags of all values: none are set, since read-through cache servers create the values themselves.
 const NO_FLAGS: &[u8] = &[0; 4];
 
 fn static_bytes(text: &'static str) -> Bytes {
@@ -42,7 +42,7 @@
 }
 
 impl RequestProtocol {
-    /// The bytes of a response; none where the protocol suppresses it (the quiet memcached opcodes).
+    /// Encodes a response. The result is empty if the protocol suppresses the response (quiet memcached opcodes).
     pub(crate) fn encode(self, key: &Bytes, response: FinalResponse) -> Vec<Bytes> {
         match self {
             RequestProtocol::Resp2 => self.encode_resp2(key, response),
@@ -114,7 +114,8 @@
         }
     }
 
-    /// A memcached status with `text`, or with the usual text of the status. Nothing in RESP2.
+    /// Encodes a memcached status response with `text`, or with the default text of the status. The result is empty for RESP2
+    /// and if the protocol suppresses the response.
     pub(crate) fn encode_status(self, status: Status, text: Option<&str>) -> Vec<Bytes> {
         let RequestProtocol::Memcached { opcode, opaque } = self else {
             return Vec::new();
@@ -133,7 +134,7 @@
         vec![out.into()]
     }
 
-    /// What precedes a value of `len` bytes that is streamed.
+    /// Encodes the bytes that precede a streamed value of `len` bytes.
     pub(crate) fn encode_value_header(self, key: &Bytes, len: usize) -> Bytes {
         let mut out = Vec::new();
         match self {
@@ -146,7 +147,7 @@
         out.into()
     }
 
-    /// What follows a value that was streamed.
+    /// Encodes the bytes that follow a streamed value.
     pub(crate) fn encode_value_trailer(self) -> Vec<Bytes> {
         match self {
             RequestProtocol::Resp2 => vec![static_bytes("\r\n")],
--- a/crates/node/src/frontend/response_tests.rs
+++ b/crates/node/src/frontend/response_tests.rs
@@ -2,6 +2,7 @@
 use bytes::BytesMut;
 use sloewick_codec::memcached::{DecodeEvent, ResponseReader};
 
+/// Status, key and value of the encoded response; `None` if the protocol suppresses it.
 fn response_to(opcode: Opcode, response: FinalResponse) -> Option<(u16, Vec<u8>, Vec<u8>)> {
     let protocol = RequestProtocol::Memcached { opcode, opaque: 77 };
     let chunks = protocol.encode(&Bytes::from_static(b"k"), response);
@@ -11,7 +12,7 @@
     }
     let piece = ResponseReader::default().next(&mut buf, 1 << 20).unwrap()?;
     let DecodeEvent::Complete(r) = piece else {
-        panic!("a long value")
+        panic!("the response is streamed")
     };
     assert_eq!((r.opcode, r.opaque, buf.len()), (opcode as u8, 77, 0));
     Some((r.status, r.key.to_vec(), r.value.to_vec()))
@@ -35,7 +36,7 @@
     assert_eq!(
         response_to(Opcode::Set, value()),
         Some((0, vec![], vec![])),
-        "a receipt is not passed on"
+        "the receipt of a write is not sent to the client"
     );
     assert_eq!(response_to(Opcode::SetQ, value()), None);
     assert_eq!(
@@ -47,7 +48,7 @@
         assert_eq!(
             response_to(opcode, FinalResponse::Failed).map(|t| t.0),
             Some(0x84),
-            "an error speaks"
+            "quiet opcodes do not suppress errors"
         );
         let (status, _, text) = response_to(opcode, FinalResponse::Busy(119_001)).unwrap();
         assert_eq!(status, 0x85);
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -1,10 +1,13 @@
-//! The requests that were accepted: each is owed exactly one final response.
+//! The table of accepted requests. Each of them needs exactly one final response.
 //!
-//! The table alone knows which response belongs to which client, which attempts of a request are in flight, and how much
-//! memory the values of writes hold. A request stays until its final response has been given (or its client has
-//! disconnected) and its last attempt has ended.
+//! Only this table records which response belongs to which client, which attempts of a request are in flight, and how much
+//! memory the values of writes occupy. A request stays in the table until its final response has been given (or its client
+//! has disconnected) and its last attempt has ended.
 //!
-//! Bounds: the number of requests by `max_in_flight`, the memory for values by [`ByteBudget`].
+//! Keys of type `usize` are slab keys, here and in the event loop; [`PendingRequest::key`] is the key that the request reads
+//! or writes in the cache.
+//!
+//! Bounds: `max_in_flight` limits the number of requests, [`ByteBudget`] the memory for values.
 
 use std::collections::HashMap;
 use std::ops::{Index, IndexMut};
@@ -19,23 +22,25 @@
 use crate::frontend::memcached::KeyedWrite;
 use crate::frontend::response::RequestProtocol;
 
-/// The fraction of the memory for the values of writes, which are kept while another attempt may need them: one in eight
-/// (a buffer that grew with its value may be twice its size).
+/// One part in this many of the memory limit is available for the values of writes, which are retained while another attempt
+/// may need them. A buffer that has grown with its value may be twice as large as the value, so the values may occupy twice as
+/// much.
 const VALUE_MEMORY_DIVISOR: usize = 8;
-/// Upper bound of the memory for one request with its timers, attempts and the arguments that no budget counts, in bytes.
+/// Upper bound of the memory for one request with its timers, its attempts and those arguments that [`ByteBudget`] does not
+/// count, in bytes.
 const MAX_REQUEST_MEMORY: usize = 12 << 10;
-/// The fraction of the memory for requests: one in four.
+/// One part in this many of the memory limit is available for requests.
 const REQUEST_MEMORY_DIVISOR: usize = 4;
 
-/// One try to get a response from a server.
+/// One attempt to get the response to a request from a server.
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
     pub(crate) started: Micros,
-    /// When it is abandoned.
+    /// When the attempt times out, or when its streamed value counts as lost.
     pub(crate) expires_at: Micros,
-    /// Its upstream connection while it is in flight.
+    /// Key of its upstream connection; `None` if the attempt is not in flight.
     pub(crate) connection: Option<usize>,
-    /// The idempotency ledger counts it as one that may have run.
+    /// Whether the idempotency ledger counts it as an attempt that may have run.
     pub(crate) counted_in_ledger: bool,
 }
 
@@ -43,25 +48,26 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ValueStream {
     pub(crate) attempt: usize,
-    /// Time to the first byte of the value.
+    /// Time from the start of the attempt to the start of the value.
     pub(crate) latency: Micros,
 }
 
-/// The arguments of a request, as its frontend parsed them.
+/// The arguments of a request, as parsed by its frontend.
 pub(crate) struct ParsedRequest {
     pub(crate) protocol: RequestProtocol,
-    /// Set for a write with an idempotency key of the memcached frontend.
+    /// The state of a memcached write that has an idempotency key; `None` for all other requests.
     pub(crate) keyed: Option<KeyedWrite>,
     pub(crate) key: Bytes,
     pub(crate) fields: Bytes,
     pub(crate) value: Option<Bytes>,
-    /// Bytes of `value` that are counted in the budget.
+    /// Bytes that are reserved for `value` in the [`ByteBudget`].
     pub(crate) reserved: usize,
 }
 
-/// A request without its final response, or with attempts still in flight.
+/// A request that has no final response yet, or whose attempts are still in flight.
 pub(crate) struct PendingRequest {
     pub(crate) id: RequestId,
+    /// Serial number, which shows whether a slab key still refers to this request.
     pub(crate) serial: u64,
     pub(crate) class: usize,
     pub(crate) respond_to: ResponseAddress,
@@ -78,8 +84,9 @@
     pub(crate) attempts_in_flight: usize,
     /// The final response was given, or the client has disconnected.
     pub(crate) closed: bool,
-    /// No further attempt is started.
+    /// No further attempt may be started.
     pub(crate) attempts_stopped: bool,
+    /// Set once a long value is being streamed as the response.
     pub(crate) stream: Option<ValueStream>,
 }
 
@@ -90,7 +97,7 @@
     }
 }
 
-/// The part of a request that the event loop adds to its arguments for [`RequestTable::insert`].
+/// The properties of a request that the event loop adds to a [`ParsedRequest`] for [`RequestTable::insert`].
 pub(crate) struct NewRequest {
     pub(crate) id: RequestId,
     pub(crate) serial: u64,
@@ -100,7 +107,7 @@
     pub(crate) respond_to: ResponseAddress,
 }
 
-/// All requests that are owed a response or have attempts in flight. See the module.
+/// All requests that need a final response or have attempts in flight. See the module documentation.
 pub(crate) struct RequestTable {
     requests: Slab<PendingRequest>,
     keys: HashMap<RequestId, usize>,
@@ -112,7 +119,8 @@
 }
 
 impl RequestTable {
-    /// A table that keeps to `max_in_flight` requests and to its fraction of `memory` bytes.
+    /// Creates a table that holds at most `max_in_flight` requests and uses a fixed fraction of `memory` bytes.
+    /// `longest_deadline`: the longest deadline of any class.
     pub(crate) fn new(memory: usize, max_in_flight: usize, longest_deadline: Micros) -> Self {
         RequestTable {
             requests: Slab::new(),
@@ -143,23 +151,23 @@
         self.requests.get_mut(key)
     }
 
-    /// The key of the request with this id.
+    /// Slab key of the request with this id.
     pub(crate) fn key_of(&self, id: &RequestId) -> Option<usize> {
         self.keys.get(id).copied()
     }
 
-    /// The requests that have no final response yet.
+    /// Slab keys of the requests that are not closed.
     pub(crate) fn open_keys(&self) -> Vec<usize> {
         let open = self.requests.iter().filter(|(_, request)| !request.closed);
         open.map(|(key, _)| key).collect()
     }
 
-    /// The key that the next request gets.
+    /// The slab key that the next request gets.
     pub(crate) fn vacant_key(&self) -> usize {
         self.requests.vacant_key()
     }
 
-    /// Adds a request; from now on it is owed one final response.
+    /// Adds a request. From now on it needs exactly one final response.
     pub(crate) fn insert(&mut self, new: NewRequest, parsed: ParsedRequest) {
         let id = new.id.clone();
         let key = self.requests.insert(PendingRequest {
@@ -184,7 +192,8 @@
         self.keys.insert(id, key);
     }
 
-    /// Marks the final response as given and releases the memory of the value, which no other attempt can need now.
+    /// Closes a request, since its final response is given or its client has disconnected. Releases the memory of its value,
+    /// which no further attempt can need.
     pub(crate) fn close(&mut self, key: usize) {
         let request = &mut self.requests[key];
         request.closed = true;
@@ -193,7 +202,7 @@
             .release(std::mem::take(&mut request.reserved));
     }
 
-    /// Removes a request that is closed and has no attempt in flight.
+    /// Removes and returns a request if it is closed and has no attempt in flight.
     pub(crate) fn remove_finished(&mut self, key: usize) -> Option<PendingRequest> {
         self.requests
             .get(key)
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -2,7 +2,7 @@
 
 const VALUE: usize = 100;
 
-/// A table with one request, a write whose value is counted in the budget.
+/// A table with one request: a write whose value is reserved in the byte budget.
 fn table_with_write() -> (RequestTable, usize) {
     let mut table = RequestTable::new(1 << 20, 10, 1_000_000);
     assert!(table.value_memory.try_reserve(VALUE));
@@ -53,7 +53,10 @@
     let (mut table, key) = table_with_write();
     start_attempt(&mut table, key);
     assert_eq!(table.open_keys(), [key]);
-    assert!(table.remove_finished(key).is_none(), "without a response");
+    assert!(
+        table.remove_finished(key).is_none(),
+        "a request without a final response stays"
+    );
     table.close(key);
     assert!(table.open_keys().is_empty() && table.remove_finished(key).is_none());
     table[key].attempts_in_flight = 0;
@@ -67,7 +70,7 @@
     let limit = (1 << 20) / VALUE_MEMORY_DIVISOR;
     assert!(
         !table.value_memory.try_reserve(limit),
-        "the value is counted"
+        "the value is reserved in the budget"
     );
     table.close(key);
     table.close(key);
