--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -2,7 +2,7 @@
 
 const VALUE: usize = 100;
 
-/// A table with one request, a write whose value is counted in the budget.
+/// A table with one request: a write whose value is reserved in the byte budget.
 fn table_with_write() -> (RequestTable, usize) {
     let mut table = RequestTable::new(1 << 20, 10, 1_000_000);
     assert!(table.value_memory.try_reserve(VALUE));
@@ -16,7 +16,7 @@
         respond_to: ResponseAddress {
             client: 0,
             client_serial: 1,
-            slot: 0,
+            response_number: 0,
         },
     };
     let parsed = ParsedRequest {
@@ -36,9 +36,9 @@
     request.attempts.push(Attempt {
         server: "s-1".into(),
         started: 0,
-        until: 1_000_000,
+        expires_at: 1_000_000,
         connection: Some(5),
-        counted: false,
+        counted_in_ledger: false,
     });
     request.attempts_in_flight += 1;
     AttemptId {
@@ -53,7 +53,10 @@
     let (mut table, key) = table_with_write();
     start_attempt(&mut table, key);
     assert_eq!(table.open_keys(), [key]);
-    assert!(table.remove_finished(key).is_none(), "without a response");
+    assert!(
+        table.remove_finished(key).is_none(),
+        "a request without a final response stays"
+    );
     table.close(key);
     assert!(table.open_keys().is_empty() && table.remove_finished(key).is_none());
     table[key].attempts_in_flight = 0;
@@ -64,10 +67,10 @@
 #[test]
 fn closing_a_request_releases_the_memory_of_its_value_once() {
     let (mut table, key) = table_with_write();
-    let limit = (1 << 20) / VALUE_MEMORY_FRACTION;
+    let limit = (1 << 20) / VALUE_MEMORY_DIVISOR;
     assert!(
         !table.value_memory.try_reserve(limit),
-        "the value is counted"
+        "the value is reserved in the budget"
     );
     table.close(key);
     table.close(key);
