--- a/crates/node/src/address_table.rs
+++ b/crates/node/src/address_table.rs
@@ -1,8 +1,8 @@
-//! Which server an address belongs to.
+//! Maps each address to the server that owns it.
 //!
-//! Guards against a server that has died and whose address a new one has taken: the endpoint list goes on naming the dead one
-//! for seconds, and its requests would reach its successor, whose cache is empty and which is not known. Of two live servers
-//! at one address the one that started later owns it; the other counts as removed.
+//! Guards against reused addresses: when a server has died and a new one has taken its address, the endpoint list still names
+//! the dead server for seconds. Requests for the dead server would reach the new one, whose cache is empty and which the node
+//! does not know yet. Of two live servers at one address, the one that started later owns it; the other is treated as removed.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,21 +12,23 @@
 
 use crate::discovery::endpoints::{EndpointList, ListedEndpoint};
 
-/// The server at an address.
+/// The server that owns an address.
 #[derive(Clone)]
 struct Owner {
     server: ServerId,
+    /// Unix time of the server's last start in milliseconds; 0: long ago.
     boot_ms: i64,
 }
 
-/// The owner of each address; as many as the endpoint list has entries.
+/// The owner of each address. The number of entries in the endpoint list bounds its size.
 #[derive(Default)]
 pub(crate) struct AddressTable {
     owners: BTreeMap<SocketAddr, Owner>,
 }
 
 impl AddressTable {
-    /// Applies a list, and marks as removed in it each server that has lost its address.
+    /// Applies a list, and marks each server in it that has lost its address as removed. A full list omits removed servers
+    /// instead.
     pub(crate) fn apply(&mut self, list: &mut EndpointList) {
         if list.all {
             self.owners.clear();
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Applies one entry, and returns the server that has lost its address by it.
+    /// Applies one entry. Returns the server that loses the entry's address to another one, if there is one.
     fn apply_entry(&mut self, listed: &ListedEndpoint) -> Option<ServerId> {
         let server = &listed.entry.server;
         let new_owner = Owner {
@@ -76,7 +78,7 @@
                 Some(other.server)
             }
             Some(other) if listed.boot_ms < other.boot_ms => Some(server.clone()),
-            // Equal starts decide nothing: both stay.
+            // Equal start times do not show which server is newer: neither is removed.
             Some(_) => None,
         }
     }
--- a/crates/node/src/admin.rs
+++ b/crates/node/src/admin.rs
@@ -1,4 +1,4 @@
-//! The admin interface: readiness, metrics, evacuation. Also what is logged about outliers and the origin.
+//! The admin interface: readiness, metrics and evacuation. It also logs outliers and overload of the origin.
 
 pub(crate) mod handlers;
 pub(crate) mod server;
@@ -13,20 +13,20 @@
 
 /// The state of the admin interface.
 pub(crate) struct Admin<N: Transport> {
-    /// Present where an admin listener is configured.
+    /// None if no admin listener is configured.
     pub(crate) server: Option<AdminServer<N>>,
     pub(crate) metrics: Metrics,
-    /// Servers that were logged as outliers.
+    /// Servers that the log last reported as outliers.
     logged_outliers: BTreeSet<ServerId>,
-    /// The origin was logged as overloaded.
+    /// Whether the log last reported the origin as overloaded.
     logged_origin_overload: bool,
 }
 
 impl<N: Transport> Admin<N> {
-    pub(crate) fn new(server: Option<AdminServer<N>>, classes: usize) -> Admin<N> {
+    pub(crate) fn new(server: Option<AdminServer<N>>, class_count: usize) -> Admin<N> {
         Admin {
             server,
-            metrics: Metrics::new(classes),
+            metrics: Metrics::new(class_count),
             logged_outliers: BTreeSet::new(),
             logged_origin_overload: false,
         }
--- a/crates/node/src/admin/handlers.rs
+++ b/crates/node/src/admin/handlers.rs
@@ -1,4 +1,4 @@
-//! Answers admin requests, and logs what operators should know about outliers and the origin.
+//! Responds to admin requests, and logs outliers and overload of the origin.
 
 use std::collections::BTreeSet;
 
@@ -13,14 +13,14 @@
 use crate::transport::{Stream, Transport};
 use crate::upstream::pool::UpstreamPools;
 
-/// A server that retains less than this fraction of its keys is logged.
-const LOGGED_OUTLIER_FRACTION: f64 = 0.5;
+/// A server that retains less than this fraction of its keys is logged as an outlier.
+const OUTLIER_LOG_THRESHOLD: f64 = 0.5;
 
-/// What the metrics are read from.
+/// The components that the gauges are read from.
 pub(crate) struct GaugeSources<'a, S, M> {
     pub(crate) upstreams: &'a UpstreamPools<S>,
     pub(crate) engine: &'a EngineQueue<M>,
-    /// Requests whose responses have not been written completely.
+    /// Number of requests whose responses have not been written completely.
     pub(crate) unfinished_responses: usize,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// Listed servers that retain only a fraction of their keys.
+/// Servers in the endpoint list that retain only a fraction of their keys.
 fn outliers<'a, S: Stream, M: DecisionEngine>(
     upstreams: &'a UpstreamPools<S>,
     decision: &'a M,
@@ -52,7 +52,7 @@
 }
 
 impl<N: Transport> Admin<N> {
-    /// Answers a request.
+    /// Performs an admin request and returns its response.
     pub(crate) fn answer<M: DecisionEngine>(
         &self,
         request: AdminRequest,
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Logs which servers have lost most of their keys, and which have all of them again, since the last call. What lies
-    /// between is logged in neither direction, or a server near the limit would fill the log.
+    /// Logs the servers that have lost most of their keys since the last call, and those that have all of them again. Changes
+    /// of the retained fraction between the two are not logged, or a server close to the threshold would fill the log.
     pub(crate) fn log_outliers<M: DecisionEngine>(
         &mut self,
         upstreams: &UpstreamPools<N::Stream>,
@@ -93,11 +93,11 @@
         io: &mut Io<N>,
     ) {
         let logged = &self.logged_outliers;
-        let is_severe = |server: &&ServerId| {
-            logged.contains(*server) || decision.retained_fraction(server) < LOGGED_OUTLIER_FRACTION
+        let is_reported = |server: &&ServerId| {
+            logged.contains(*server) || decision.retained_fraction(server) < OUTLIER_LOG_THRESHOLD
         };
         let current: BTreeSet<ServerId> = outliers(upstreams, decision)
-            .filter(is_severe)
+            .filter(is_reported)
             .cloned()
             .collect();
         for server in current.difference(logged) {
@@ -110,7 +110,7 @@
         self.logged_outliers = current;
     }
 
-    /// Logs when the origin becomes overloaded, and when that is over.
+    /// Logs when the origin becomes overloaded, and when the overload is over.
     pub(crate) fn log_origin_overload(&mut self, is_overloaded: bool, io: &mut Io<N>) {
         if self.logged_origin_overload != is_overloaded {
             self.logged_origin_overload = is_overloaded;
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -1,7 +1,8 @@
-//! The HTTP/1.1 server of the admin interface (RFC 9112): one request on a connection, which is closed behind its response.
+//! The HTTP/1.1 server of the admin interface (RFC 9112). Each connection carries one request and is closed after its
+//! response.
 //!
-//! Guarantees: at most [`MAX_ADMIN_CLIENTS`] connections, each for a bounded time and with a bounded buffer; a client that
-//! does not complete its request never blocks another one.
+//! Guarantees: at most [`MAX_ADMIN_CLIENTS`] connections are open, each for a bounded time and with a bounded buffer. A client
+//! that does not complete its request never blocks another one.
 
 use bytes::{Bytes, BytesMut};
 use slab::Slab;
@@ -10,28 +11,30 @@
 
 use crate::transport::{fill, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue};
 
-/// Clients at a time; one more replaces the one that has been there longest without a complete request.
+/// Maximum number of open connections. A further connection replaces the oldest one that has been answered or, if there is
+/// none, the oldest one without a complete request.
 pub(crate) const MAX_ADMIN_CLIENTS: usize = 16;
-/// Time for writing a request, and for reading its response.
+/// Time that a client has for sending its request, from when its connection was accepted.
 const MAX_REQUEST_TIME: Micros = 3_000_000;
+/// Time that a client has for reading its response, from when the response was queued.
 const MAX_RESPONSE_TIME: Micros = 1_000_000;
-/// Reads from one client for one event; each takes up to [`crate::transport::MAX_READ`] bytes.
+/// Maximum number of reads from one client per event; each reads up to [`crate::transport::MAX_READ`] bytes.
 const MAX_READS_PER_EVENT: usize = 8;
 
-/// What an admin client asks for.
+/// A request of an admin client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AdminRequest {
-    /// Whether the process is ready to serve.
+    /// Query whether the process is ready to serve.
     Ready,
-    /// The metrics.
+    /// Query the metrics.
     Telemetry,
-    /// Send the clients away.
+    /// Start an evacuation: the connections of all clients are closed.
     Evacuate,
     /// End an evacuation.
     Rejoin,
 }
 
-/// Method and path of a request.
+/// The request that a method and path stand for.
 struct Route {
     method: &'static str,
     path: &'static str,
@@ -61,7 +64,7 @@
     },
 ];
 
-/// A response: its HTTP status and text.
+/// A response: its HTTP status and body.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct AdminResponse {
     pub(crate) status: u16,
@@ -79,41 +82,42 @@
 
 struct AdminClient<S> {
     stream: S,
-    buf: BytesMut,
-    out: WriteQueue,
-    accepted: Micros,
-    /// When the response was given; from then on input is discarded.
-    answered: Option<Micros>,
-    /// Sending has ended.
-    ending: bool,
+    input: BytesMut,
+    output: WriteQueue,
+    /// When the connection was accepted.
+    accepted_at: Micros,
+    /// When the response was queued; from then on input is discarded. None until then.
+    answered_at: Option<Micros>,
+    /// The sending side of the connection is shut down.
+    is_write_shut_down: bool,
 }
 
 /// The admin listener and its clients.
 pub(crate) struct AdminServer<N: Transport> {
     listener: N::Listener,
-    /// Connections may wait to be accepted.
+    /// Whether connections may be waiting to be accepted.
     has_waiting: bool,
     clients: Slab<AdminClient<N::Stream>>,
-    /// The token of a client, by its key.
-    token: fn(usize) -> Token,
+    /// Returns the token of the client with a given key.
+    token_of: fn(usize) -> Token,
 }
 
 impl<N: Transport> AdminServer<N> {
-    pub(crate) fn new(listener: N::Listener, token: fn(usize) -> Token) -> AdminServer<N> {
+    pub(crate) fn new(listener: N::Listener, token_of: fn(usize) -> Token) -> AdminServer<N> {
         AdminServer {
             listener,
             has_waiting: true,
             clients: Slab::new(),
-            token,
+            token_of,
         }
     }
 
-    /// An event on the listener.
+    /// Handles an event on the listener.
     pub(crate) fn listener_ready(&mut self) {
         self.has_waiting = true;
     }
 
-    /// Accepts the clients that wait.
+    /// Accepts the connections that are waiting, at most [`MAX_ADMIN_CLIENTS`] per call.
     pub(crate) fn accept(&mut self, net: &mut N, now: Micros) {
         let mut accepted = 0;
         while self.has_waiting && accepted < MAX_ADMIN_CLIENTS {
@@ -121,33 +125,34 @@
             if self.clients.len() >= MAX_ADMIN_CLIENTS && !self.drop_oldest() {
                 return;
             }
-            let token = (self.token)(self.clients.vacant_key());
+            let token = (self.token_of)(self.clients.vacant_key());
             match net.accept(&mut self.listener, token) {
                 Ok(stream) => {
                     self.clients.insert(AdminClient {
                         stream,
-                        buf: BytesMut::new(),
-                        out: WriteQueue::default(),
-                        accepted: now,
-                        answered: None,
-                        ending: false,
+                        input: BytesMut::new(),
+                        output: WriteQueue::default(),
+                        accepted_at: now,
+                        answered_at: None,
+                        is_write_shut_down: false,
                     });
                 }
                 Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => self.has_waiting = false,
-                // No descriptor is free, or the client has disconnected: tried again in the next round.
+                // No descriptor is free, or the client has disconnected: the next round retries.
                 Err(_) => return,
             }
         }
     }
 
+    /// Closes the oldest connection, answered ones first. Returns false if there is none.
     fn drop_oldest(&mut self) -> bool {
         let clients = self.clients.iter();
-        let oldest = clients.min_by_key(|(_, c)| (c.answered.is_none(), c.accepted));
+        let oldest = clients.min_by_key(|(_, c)| (c.answered_at.is_none(), c.accepted_at));
         let oldest = oldest.map(|(key, _)| key);
         oldest.map(|key| self.clients.remove(key)).is_some()
     }
 
-    /// An event on a client's connection; `answer` is called with a complete request.
+    /// Handles an event on a client's connection. Calls `answer` once the request is complete.
     pub(crate) fn ready(
         &mut self,
         key: usize,
@@ -160,8 +165,8 @@
             return;
         };
         let has_ended = client.read(scratch) || event.error;
-        if client.answered.is_none() {
-            let response = match http1::request_head(&client.buf, has_ended) {
+        if client.answered_at.is_none() {
+            let response = match http1::request_head(&client.input, has_ended) {
                 Ok(None) => return,
                 Ok(Some(head)) => find_route(&head.method, &head.path).map_or_else(|e| e, answer),
                 Err(RequestError::Unreadable) => {
@@ -179,16 +184,16 @@
         }
     }
 
-    /// Closes connections whose time is over.
+    /// Closes connections that have exceeded their time limit.
     pub(crate) fn sweep(&mut self, now: Micros) {
-        self.clients.retain(|_, client| match client.answered {
+        self.clients.retain(|_, client| match client.answered_at {
             Some(at) => now - at < MAX_RESPONSE_TIME,
-            None => now - client.accepted < MAX_REQUEST_TIME,
+            None => now - client.accepted_at < MAX_REQUEST_TIME,
         });
     }
 }
 
-/// The request with this method and path, or the response to one that does not exist.
+/// Returns the request with this method and path, or an error response if there is none.
 fn find_route(method: &str, path: &str) -> Result<AdminRequest, AdminResponse> {
     let path = path.split('?').next().unwrap_or(path);
     let Some(route) = ROUTES.iter().find(|route| route.path == path) else {
@@ -204,20 +209,20 @@
 }
 
 impl<S: Stream> AdminClient<S> {
-    /// Reads what has arrived; true if the connection has ended.
+    /// Reads the input that has arrived. Returns true if the connection has ended.
     ///
-    /// Guards against a client that writes without end: input beyond the bound stays in the kernel, where it blocks nobody,
-    /// until the client's time is over.
+    /// Guards against a client that sends without end: input beyond the bound stays in the kernel, where it blocks no other
+    /// client, until the connection exceeds its time limit.
     fn read(&mut self, scratch: &mut [u8]) -> bool {
         for _ in 0..MAX_READS_PER_EVENT {
-            match fill(&mut self.stream, &mut self.buf, scratch) {
+            match fill(&mut self.stream, &mut self.input, scratch) {
                 ReadOutcome::Closed | ReadOutcome::Failed => return true,
                 ReadOutcome::Empty => return false,
-                ReadOutcome::More if self.answered.is_some() => {
-                    self.buf.clear();
+                ReadOutcome::More if self.answered_at.is_some() => {
+                    self.input.clear();
                 }
                 ReadOutcome::More => {
-                    if self.buf.len() > http1::MAX_HEAD {
+                    if self.input.len() > http1::MAX_HEAD {
                         return false;
                     }
                 }
@@ -226,25 +231,27 @@
         false
     }
 
+    /// Queues the response.
     fn answer(&mut self, response: &AdminResponse, now: Micros) {
-        self.answered = Some(now);
-        self.buf.clear();
-        self.out.push(Bytes::from(http1::text_response(
+        self.answered_at = Some(now);
+        self.input.clear();
+        self.output.push(Bytes::from(http1::text_response(
             response.status,
             &response.text,
         )));
     }
 
-    /// Writes; true when the connection can be closed.
+    /// Writes queued output. Returns true when the connection can be closed.
     fn write(&mut self, has_ended: bool) -> bool {
-        if self.out.flush(&mut self.stream).is_err() {
+        if self.output.flush(&mut self.stream).is_err() {
             return true;
         }
-        if self.out.is_empty() && !self.ending {
-            // Closing with unread input would send a reset, which can destroy the response under way.
-            self.ending = true;
+        if self.output.is_empty() && !self.is_write_shut_down {
+            // Closing the connection with unread input would send a reset, which can destroy the response in transit. Only
+            // the sending side is shut down until the client closes the connection.
+            self.is_write_shut_down = true;
             return self.stream.shutdown_write().is_err() || has_ended;
         }
-        has_ended && self.out.is_empty()
+        has_ended && self.output.is_empty()
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,14 +1,14 @@
 //! The running node: frontends, the request table, upstream pools, discovery and timers around the decision module.
 //!
-//! The decision module (`sloewick-decision`) decides and performs no I/O; this package performs I/O and decides nothing. The
-//! [`Node`] is an event loop that carries events between the owners of its state:
+//! The decision module (`sloewick-decision`) makes all decisions and performs no I/O; this package performs the I/O and makes
+//! no decisions. The [`Node`] is an event loop that passes events between components, each of which owns its state:
 //!
-//! - the request table alone knows which response is owed to which client;
-//! - frontends turn bytes into requests and final responses into bytes;
-//! - upstream pools turn attempts into outcomes;
+//! - the request table is the only record of which client waits for which response;
+//! - frontends parse requests and encode final responses;
+//! - upstream pools perform attempts and report their outcomes;
 //! - discovery, the admin interface, hot restart and the lifecycle each own their own state.
 //!
-//! Owners do not know the event loop. One that needs a second owner takes it as an argument.
+//! Components do not refer to the event loop. A component that needs another one takes it as an argument.
 
 pub mod config;
 pub mod config_check;
