--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration, `BALANCER_CONFIG`: who this node is, its limits, its settings and the last known endpoint list.
+//! The configuration of a node (`BALANCER_CONFIG`): its addresses, limits and settings, and the last known endpoint list.
 
 use std::net::SocketAddr;
 
@@ -12,71 +12,71 @@
 
 /// The configuration of a node.
 pub struct Config {
-    /// Where clients connect.
+    /// Address of the client listener.
     pub listen: SocketAddr,
-    /// The address of discovery.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where admin clients connect, if they may.
+    /// Address of the admin listener; None: there is no admin interface.
     pub ops: Option<SocketAddr>,
-    /// The descriptor of the clients' listening socket where the platform holds it; without one the node listens itself.
-    /// Not a field of the configuration: it belongs to the process, as `BALANCER_ACCEPT_FD` says.
+    /// Descriptor of the clients' listening socket that the process inherits from the platform; None: the node opens the
+    /// socket itself. Not a field of the configuration, since it belongs to the process: `BALANCER_ACCEPT_FD` sets it.
     pub accept_fd: Option<i32>,
     /// Seed of all random decisions.
     pub seed: u64,
-    /// Limit of the process's memory, in bytes.
+    /// Memory limit of the process in bytes.
     pub memory: usize,
-    /// Limit of the process's descriptors.
+    /// Limit on the process's file descriptors.
     pub sockets: usize,
-    /// The last known endpoint list.
+    /// The last known endpoint list, which is used until discovery sends one.
     pub known: EndpointList,
-    /// The settings of the decision module.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// The names that the settings give to classes, tenants and zones.
+    /// Names of the classes, tenants and zones in the settings.
     pub names: Names,
     /// Time after which servers close idle connections, in microseconds.
     pub server_idle: i64,
-    /// This node's position in what all nodes spread over time by their numbers, from 0 to 1.
+    /// This node's position, from 0 to 1, in schedules that spread the nodes over time by their numbers.
     pub phase: f64,
-    /// Probes ask for a load report; otherwise for a mere sign of life.
+    /// Whether probes request a load report; otherwise they only check that the server responds.
     pub probe_load: bool,
-    /// The memcached frontend and cache servers, where they are switched on.
+    /// Configuration of the memcached frontend and cache servers; None: they are disabled.
     pub memcached: Option<MemcachedConfig>,
-    /// The event trace is written to the log. Not a field of the configuration: the command line says so.
+    /// Whether the event trace is written to the log. Not a field of the configuration: an option of the command line sets it.
     pub trace: bool,
 }
 
-/// Minimum of descriptors: a few connections on each side.
+/// Minimum number of descriptors, which allows a few connections to clients and a few to cache servers.
 const MIN_SOCKETS: i64 = 64;
-/// Minimum of memory in MB: long values one at a time.
+/// Minimum memory in MB, which suffices for long values one at a time.
 const MIN_MEMORY_MB: i64 = 32;
-/// Used where the settings do not say how long servers keep idle connections.
+/// [`Config::server_idle`] in microseconds if the settings contain no `conn_idle`.
 const DEFAULT_SERVER_IDLE: i64 = 10_000_000;
 
 /// Reads a configuration from a file.
 ///
 /// # Errors
-/// The file cannot be read, or the first field that is missing, of a wrong kind or beyond its bounds.
+/// The file cannot be read, or a field is missing, of the wrong type or out of range; the first such field is named.
 pub fn read(path: &str) -> Result<Config, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| SettingsError::new("BALANCER_CONFIG", format!("{path}: {e}")))?;
     parse(&text)
 }
 
-/// Switches the memcached frontend and cache servers on, as `text` says.
+/// Enables the memcached frontend and cache servers; `text` is the content of the memcached configuration file.
 ///
 /// # Errors
-/// All that is wrong with the text.
+/// All problems in the text.
 pub fn memcached(config: &mut Config, text: &str) -> Result<(), Vec<Problem>> {
-    let file =
+    let memcached =
         memcached_config::parse(text, &config.names, &config.settings.classes, config.memory)?;
-    config.memcached = Some(file);
+    config.memcached = Some(memcached);
     Ok(())
 }
 
-/// Applies the environment: `BALANCER_OPS` where the file has no `ops`, and `BALANCER_ACCEPT_FD`.
+/// Applies the environment variables: `BALANCER_OPS` if the file has no `ops`, and `BALANCER_ACCEPT_FD`.
 ///
 /// # Errors
-/// The variable that is no address, or no descriptor beyond the standard streams.
+/// A variable is not an address, or not a descriptor above those of the standard streams; the variable is named.
 pub fn apply_environment(
     config: &mut Config,
     var: impl Fn(&str) -> Option<String>,
@@ -86,13 +86,13 @@
     }
     if let Some(text) = var("BALANCER_ACCEPT_FD") {
         let fd = text.parse().ok().filter(|fd| *fd > 2);
-        let no_descriptor = || {
+        let invalid_descriptor = || {
             SettingsError::new(
                 "BALANCER_ACCEPT_FD",
                 format!("{text:?} is no descriptor above 2"),
             )
         };
-        config.accept_fd = Some(fd.ok_or_else(no_descriptor)?);
+        config.accept_fd = Some(fd.ok_or_else(invalid_descriptor)?);
     }
     Ok(())
 }
@@ -102,8 +102,8 @@
         .map_err(|_| SettingsError::new(name, format!("{text:?} is no address and port")))
 }
 
-/// The node's phase. Those of neighbouring node numbers lie far apart, and any number of nodes shares the time evenly.
-/// Without a number the phase is random.
+/// Computes the node's phase from its number. Multiples of the golden ratio modulo 1 put consecutive numbers far apart and
+/// spread any number of nodes evenly. Without a number the phase is random: it follows from the seed.
 fn parse_phase(settings: &Fields<'_>, seed: u64) -> Result<f64, SettingsError> {
     const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
     let number = settings.opt("me").map(|_| settings.int("me")).transpose()?;
@@ -130,7 +130,7 @@
 /// Parses a configuration.
 ///
 /// # Errors
-/// The first field that is missing, of a wrong kind or beyond its bounds.
+/// The text is not JSON, or a field is missing, of the wrong type or out of range; the first such field is named.
 pub fn parse(text: &str) -> Result<Config, SettingsError> {
     let value: Value = serde_json::from_str(text)
         .map_err(|e| SettingsError::new("BALANCER_CONFIG", format!("is not JSON: {e}")))?;
@@ -143,13 +143,13 @@
         n if n >= min => Ok(n as usize),
         n => Err(SettingsError::new(name, format!("{n} is below {min}"))),
     };
-    let object = Fields::of(fields.get("settings")?, "settings")?;
-    let (settings, names) = settings::parse(&object)?;
+    let settings_fields = Fields::of(fields.get("settings")?, "settings")?;
+    let (settings, names) = settings::parse(&settings_fields)?;
     settings
         .validate()
         .map_err(|e| SettingsError::new("settings", e.to_string()))?;
-    let server_idle = parse_server_idle(&object)?;
-    let probe_load = parse_probe_load(&object)?;
+    let server_idle = parse_server_idle(&settings_fields)?;
+    let probe_load = parse_probe_load(&settings_fields)?;
     Ok(Config {
         listen: address("listen")?,
         discovery: address("discovery")?,
@@ -163,7 +163,7 @@
         settings,
         names,
         server_idle,
-        phase: parse_phase(&object, seed)?,
+        phase: parse_phase(&settings_fields, seed)?,
         probe_load,
         memcached: None,
     })
--- a/crates/node/src/config_check.rs
+++ b/crates/node/src/config_check.rs
@@ -1,5 +1,5 @@
-//! Checks a configuration without using it. All problems are reported, not only the first; each names the field, its value,
-//! what is wrong and a value that would do.
+//! Validates a configuration without applying it. Reports every problem, with the field, its value, the reason and an example
+//! of a valid value.
 
 mod rules;
 
@@ -10,22 +10,22 @@
 
 use crate::config;
 use rules::{
-    Expected, FieldRule, CLASS, GUARDED, KNOWN, LIMITS, POLICY, POLLING_RULES, REALM, RULES,
-    SETTINGS, TARGET, TOP,
+    Expected, FieldRule, CLASS, ENDPOINT, ENDPOINT_LIST, GUARDED_CLASS, LIMITS, POLICY_LIMITS,
+    POLLING_RULES, ROOT, RULES, SETTINGS, TENANT,
 };
 
-/// A problem or an oddity in a configuration.
+/// A problem in a configuration, or a note on a valid but unusual value.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Finding {
-    /// Path of the field, like `settings.classes[1].window`.
+    /// Path of the field, such as `settings.classes[1].window`.
     pub field: String,
-    /// Its value; `missing` if there is none.
+    /// The field's value as JSON, possibly truncated; `missing` if there is none.
     pub value: String,
-    /// What is wrong.
+    /// What is wrong with the value.
     pub why: String,
-    /// A value that would do.
+    /// An example of a valid value.
     pub example: String,
-    /// The configuration cannot be used; otherwise a note.
+    /// Whether the configuration cannot be used because of this; false for a note.
     pub fatal: bool,
 }
 
@@ -40,23 +40,23 @@
     }
 }
 
-/// Longest value that is quoted, in characters.
-const MAX_QUOTED: usize = 60;
+/// Length to which quoted values are truncated, in characters.
+const MAX_QUOTED_CHARS: usize = 60;
 
-/// All that is wrong with a configuration, and notes on what is odd.
+/// Returns all problems in a configuration, and notes on unusual values.
 pub fn check(text: &str) -> Vec<Finding> {
     let mut checker = Checker {
         findings: Vec::new(),
     };
     match serde_json::from_str(text) {
         Ok(root) => {
-            checker.check_objects(&root);
+            checker.check_top_level(&root);
             checker.check_classes(&root);
             checker.check_tenants_and_rules(&root);
             checker.check_addresses(&root);
             checker.check_by_parsing(text);
         }
-        Err(e) => checker.problem(
+        Err(e) => checker.add_problem(
             "(file)",
             None,
             format!("is not JSON: {e}"),
@@ -67,11 +67,12 @@
 }
 
 /// The value at a path.
-fn at<'a>(root: &'a Value, path: &[&str]) -> Option<&'a Value> {
+fn value_at<'a>(root: &'a Value, path: &[&str]) -> Option<&'a Value> {
     path.iter().try_fold(root, |value, name| value.get(name))
 }
 
-fn items(list: Option<&Value>) -> impl Iterator<Item = (usize, &Value)> {
+/// The items of an array with their indices; none if it is not an array.
+fn array_items(list: Option<&Value>) -> impl Iterator<Item = (usize, &Value)> {
     list.and_then(Value::as_array)
         .into_iter()
         .flatten()
@@ -80,7 +81,7 @@
 
 fn quote(value: &Value) -> String {
     let text = value.to_string();
-    let start: String = text.chars().take(MAX_QUOTED).collect();
+    let start: String = text.chars().take(MAX_QUOTED_CHARS).collect();
     if start.len() < text.len() {
         start + "..."
     } else {
@@ -110,8 +111,8 @@
         });
     }
 
-    /// The configuration cannot be used.
-    fn problem(
+    /// Adds a problem that makes the configuration unusable.
+    fn add_problem(
         &mut self,
         field: &str,
         value: Option<&Value>,
@@ -121,7 +122,7 @@
         self.add(field, value, why, example, true);
     }
 
-    fn note(
+    fn add_note(
         &mut self,
         field: &str,
         value: Option<&Value>,
@@ -131,11 +132,11 @@
         self.add(field, value, why, example, false);
     }
 
-    /// Checks the fields of an object.
-    fn object(&mut self, path: &str, value: &Value, rules: &[FieldRule]) {
+    /// Checks the fields of an object; `path` is empty for the root object.
+    fn check_fields(&mut self, path: &str, value: &Value, rules: &[FieldRule]) {
         if !value.is_object() {
             let expected = Expected::Object;
-            return self.problem(path, Some(value), expected.problem(), expected.example());
+            return self.add_problem(path, Some(value), expected.mismatch(), expected.example());
         }
         for rule in rules {
             let field = if path.is_empty() {
@@ -146,61 +147,71 @@
             let expected = rule.expected;
             match value.get(rule.name).filter(|v| !v.is_null()) {
                 None if rule.is_optional => {}
-                None => self.problem(&field, None, "has to be there", expected.example()),
+                None => self.add_problem(&field, None, "has to be there", expected.example()),
                 Some(v) if !expected.matches(v) => {
-                    self.problem(&field, Some(v), expected.problem(), expected.example());
+                    self.add_problem(&field, Some(v), expected.mismatch(), expected.example());
                 }
                 Some(_) => {}
             }
         }
     }
 
-    /// Checks the objects of an array.
-    fn each(&mut self, path: &str, list: Option<&Value>, rules: &[FieldRule]) {
-        for (i, item) in items(list) {
-            self.object(&format!("{path}[{i}]"), item, rules);
+    /// Checks the fields of each object in an array.
+    fn check_each(&mut self, path: &str, list: Option<&Value>, rules: &[FieldRule]) {
+        for (i, item) in array_items(list) {
+            self.check_fields(&format!("{path}[{i}]"), item, rules);
         }
     }
 
-    /// Checks that no two objects of an array have the same value in a field.
-    fn unique(&mut self, path: &str, list: Option<&Value>, name: &str) {
+    /// Checks that no two objects in an array have the same value in a field.
+    fn check_unique(&mut self, path: &str, list: Option<&Value>, name: &str) {
         let mut seen = BTreeSet::new();
-        for (i, item) in items(list) {
+        for (i, item) in array_items(list) {
             let Some(value) = item.get(name) else {
                 continue;
             };
             if !seen.insert(value.to_string()) {
                 let field = format!("{path}[{i}].{name}");
-                self.problem(&field, Some(value), "stands there twice", "another name");
+                self.add_problem(
+                    &field,
+                    Some(value),
+                    "occurs more than once",
+                    "a unique name",
+                );
             }
         }
     }
 
-    fn check_objects(&mut self, root: &Value) {
-        self.object("", root, TOP);
-        for (name, rules) in [("limits", LIMITS), ("known", KNOWN), ("settings", SETTINGS)] {
-            if let Some(value) = at(root, &[name]).filter(|v| v.is_object()) {
-                self.object(name, value, rules);
+    /// Checks the root object, its objects `limits`, `known` and `settings`, and the endpoint list.
+    fn check_top_level(&mut self, root: &Value) {
+        self.check_fields("", root, ROOT);
+        for (name, rules) in [
+            ("limits", LIMITS),
+            ("known", ENDPOINT_LIST),
+            ("settings", SETTINGS),
+        ] {
+            if let Some(value) = value_at(root, &[name]).filter(|v| v.is_object()) {
+                self.check_fields(name, value, rules);
             }
         }
-        let targets = at(root, &["known", "targets"]);
-        self.each("known.targets", targets, TARGET);
-        self.unique("known.targets", targets, "uid");
+        let targets = value_at(root, &["known", "targets"]);
+        self.check_each("known.targets", targets, ENDPOINT);
+        self.check_unique("known.targets", targets, "uid");
     }
 
     fn check_classes(&mut self, root: &Value) {
-        let classes = at(root, &["settings", "classes"]);
-        self.each("settings.classes", classes, CLASS);
-        self.unique("settings.classes", classes, "name");
+        let classes = value_at(root, &["settings", "classes"]);
+        self.check_each("settings.classes", classes, CLASS);
+        self.check_unique("settings.classes", classes, "name");
         let list = classes.and_then(Value::as_array);
         if list.is_some_and(Vec::is_empty) {
-            let why = "there must be one at least";
-            self.problem("settings.classes", classes, why, "[{...}]");
+            let why = "must contain at least one class";
+            self.add_problem("settings.classes", classes, why, "[{...}]");
         }
-        for (i, class) in items(classes) {
+        for (i, class) in array_items(classes) {
             let path = format!("settings.classes[{i}]");
             if class.get("repeat").and_then(Value::as_str) == Some("guarded") {
-                self.object(&path, class, GUARDED);
+                self.check_fields(&path, class, GUARDED_CLASS);
             }
             self.check_latency_objective(&path, class);
         }
@@ -210,57 +221,58 @@
         let number = |name: &str| class.get(name).and_then(Value::as_f64);
         if let (Some(latency_objective), Some(deadline)) = (number("aim"), number("deadline")) {
             if latency_objective > deadline {
-                let why = format!("lies beyond the deadline, {deadline}: nobody waits so long");
+                let why =
+                    format!("exceeds the deadline of {deadline} ms, after which no client waits");
                 let field = format!("{path}.aim");
-                self.note(&field, class.get("aim"), why, format!("{deadline}"));
+                self.add_note(&field, class.get("aim"), why, format!("{deadline}"));
             }
         }
     }
 
     fn check_tenants_and_rules(&mut self, root: &Value) {
-        let tenants = at(root, &["settings", "realms"]);
-        self.each("settings.realms", tenants, REALM);
-        self.unique("settings.realms", tenants, "name");
-        for (name, rules) in [("policy_limits", POLICY), ("rules", RULES)] {
-            if let Some(value) = at(root, &["settings", name]).filter(|v| v.is_object()) {
-                self.object(&format!("settings.{name}"), value, rules);
+        let tenants = value_at(root, &["settings", "realms"]);
+        self.check_each("settings.realms", tenants, TENANT);
+        self.check_unique("settings.realms", tenants, "name");
+        for (name, rules) in [("policy_limits", POLICY_LIMITS), ("rules", RULES)] {
+            if let Some(value) = value_at(root, &["settings", name]).filter(|v| v.is_object()) {
+                self.check_fields(&format!("settings.{name}"), value, rules);
             }
         }
-        if at(root, &["settings", "discovery"]).and_then(Value::as_str) == Some("ask") {
-            let rules = at(root, &["settings", "rules"]).filter(|v| v.is_object());
+        if value_at(root, &["settings", "discovery"]).and_then(Value::as_str) == Some("ask") {
+            let rules = value_at(root, &["settings", "rules"]).filter(|v| v.is_object());
             if let Some(rules) = rules {
-                self.object("settings.rules", rules, POLLING_RULES);
+                self.check_fields("settings.rules", rules, POLLING_RULES);
             }
         }
     }
 
-    /// Checks that the node's own addresses differ from each other and from discovery's.
+    /// Checks that the addresses of the client listener, the admin listener and discovery differ.
     fn check_addresses(&mut self, root: &Value) {
-        let address = |name| at(root, &[name]);
+        let address = |name| value_at(root, &[name]);
         if let (Some(listen), Some(discovery)) = (address("listen"), address("discovery")) {
             if listen == discovery && Expected::Address.matches(listen) {
-                let why = "is the address of this node itself";
-                self.problem("discovery", Some(discovery), why, "\"10.2.0.1:8500\"");
+                let why = "is the address that this node listens on";
+                self.add_problem("discovery", Some(discovery), why, "\"10.2.0.1:8500\"");
             }
         }
         for name in ["listen", "discovery"] {
             if let (Some(ops), Some(other)) = (address("ops"), address(name)) {
                 if ops == other && Expected::Address.matches(ops) {
-                    let why = format!("is the address that {name} has");
-                    self.problem("ops", Some(ops), why, "\"127.0.0.1:15000\"");
+                    let why = format!("is the same address as {name}");
+                    self.add_problem("ops", Some(ops), why, "\"127.0.0.1:15000\"");
                 }
             }
         }
     }
 
-    /// Reports what the node itself would reject, in its words, if nothing was found before.
+    /// Parses the configuration as the node does and reports its error, unless a problem was found before.
     fn check_by_parsing(&mut self, text: &str) {
         if self.findings.iter().any(|finding| finding.fatal) {
             return;
         }
         if let Err(error) = config::parse(text) {
-            let example = "a value of the kind that the message names";
-            self.problem("(file)", None, error.to_string(), example);
+            let example = "a value that the message allows";
+            self.add_problem("(file)", None, error.to_string(), example);
         }
     }
 }
