--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -1,33 +1,35 @@
-//! How the process's file descriptors are divided. No state.
+//! Divides the process's file descriptors among their uses. Stateless.
 //!
-//! Guarantee: clients never hold a descriptor that is reserved for something else.
+//! Guarantee: clients never hold a descriptor that is reserved for another use.
 
 use crate::admin::server::MAX_ADMIN_CLIENTS;
 
-/// Descriptors of the process itself: standard streams, poll, signals, listeners, files, and a few to spare.
+/// Descriptors of the process itself: standard streams, poll, signals, listeners, files, and a small reserve.
 const PROCESS_DESCRIPTORS: usize = 14;
-/// For requests to discovery: one at a time, and one that replaces it.
+/// Descriptors for requests to discovery: the current request, and one that replaces it.
 const DISCOVERY_DESCRIPTORS: usize = 2;
-/// For clients without a slot: new ones that are rejected, and those that were closed with a response, until they have read
-/// it. None holds one for long, so that a few serve any number of newcomers.
+/// Descriptors for clients without a slot: new clients that are rejected, and clients whose connection is closed with a
+/// response, until they have read it. Each is held only briefly, so a few suffice for any number of new clients.
 pub(crate) const REJECTED_CLIENT_DESCRIPTORS: usize = 8;
-/// For the admin listener and its clients.
+/// Descriptors for the admin listener and its clients.
 const ADMIN_DESCRIPTORS: usize = MAX_ADMIN_CLIENTS + 1;
-/// Processes that serve an inherited listener during an upgrade, under the limits of one.
+/// Number of processes that serve an inherited listener during an upgrade and together stay within the limits of one.
 pub(crate) const PROCESSES_PER_INHERITED_LISTENER: usize = 2;
-/// The share of upstream connections in the remaining descriptors, in percent. A client's connection is mostly idle, an
-/// upstream connection carries one attempt.
+/// Percentage of the remaining descriptors that is for upstream connections. Client connections get the larger share because
+/// they are mostly idle, whereas an upstream connection carries one attempt.
 const UPSTREAM_PERCENT: usize = 40;
 
-/// How the descriptors that remain for connections are divided.
+/// Numbers of descriptors for the connections of the node, without the reserved ones.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct DescriptorShares {
+    /// For connections to cache servers.
     pub(crate) upstream: usize,
+    /// For connections of clients with a slot.
     pub(crate) clients: usize,
 }
 
 impl DescriptorShares {
-    /// Divides `descriptors`, the limit of the process.
+    /// Divides `descriptors`, the limit on the descriptors of the process.
     pub(crate) fn of(descriptors: usize, has_admin_listener: bool) -> DescriptorShares {
         let admin = if has_admin_listener {
             ADMIN_DESCRIPTORS
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,8 +1,8 @@
 //! The interface to the decision module, and the queue of events that go into it.
 //!
 //! The node performs I/O and makes no decisions: it hands [`Event`]s to a [`DecisionEngine`] and carries out the
-//! [`Action`]s that come back. Effects of an action that are known at once are queued as further events, so the
-//! engine is never entered while it is still handling an event.
+//! [`Action`]s that it returns. Effects of an action that are known at once are queued as further events, so the
+//! engine is never called while it is still handling an event.
 
 use std::collections::VecDeque;
 
@@ -15,12 +15,12 @@
 
 /// A decision module: events in, actions out, time as an argument, no I/O.
 ///
-/// The methods with a default are optional: an engine without that knowledge keeps the default.
+/// Methods with a default implementation are optional: an engine that does not track what they report keeps the default.
 pub trait DecisionEngine {
     /// Handles one event at `now` and appends the resulting actions to `actions`.
     fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>);
 
-    /// Whether `server`, which is in the endpoint list, currently gets no requests. Default: false.
+    /// Whether `server`, which is in the endpoint list, currently receives no requests. Default: false.
     fn is_unavailable(&self, _now: Micros, _server: &ServerId) -> bool {
         false
     }
@@ -30,28 +30,28 @@
         1.0
     }
 
-    /// Whether the origin behind the cache servers counts as overloaded. Default: false.
+    /// Whether the origin behind the cache servers is considered overloaded. Default: false.
     fn origin_overloaded(&self, _now: Micros) -> bool {
         false
     }
 
-    /// The decision that led to the most recent action, as one word for the trace. Default: `untold`.
+    /// The reason of the decision that led to the most recent action, as one word for the trace. Default: `untold`.
     fn decision_reason(&self) -> &'static str {
         "untold"
     }
 
-    /// Whether an attempt whose connection has just been established is to be written now. Default: true.
+    /// Whether an attempt whose connection has just been established may still be written to it. Default: true.
     fn may_start_attempt(&self, _now: Micros, _request: &RequestId, _attempt: usize) -> bool {
         true
     }
 
-    /// The state to hand to the next process of this node; none if that one is to start without. Default: none.
+    /// The state to hand over to the next process of this node; None: that process starts without it. Default: None.
     fn checkpoint(&self, _now: Micros) -> Option<Checkpoint> {
         None
     }
 
-    /// Restores the checkpoint of an earlier process that is `age` microseconds old. Called before the first
-    /// endpoint list. Default: ignored.
+    /// Restores the checkpoint of an earlier process, which was taken `age` microseconds ago. Called before the first
+    /// endpoint list is passed to the engine. The default ignores the checkpoint.
     fn restore(&mut self, _now: Micros, _age: Micros, _checkpoint: Checkpoint) {}
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// The decision engine with its input queue, its trace and the names of its classes, tenants and zones.
+/// The decision engine with the queue of its input events, its trace, and the names of the classes, tenants and zones.
 pub(crate) struct EngineQueue<M> {
     pub(crate) decision: M,
     pub(crate) names: Names,
@@ -110,16 +110,17 @@
         }
     }
 
-    /// Queues an event; it is handled before the event loop waits again.
+    /// Queues an event. It is handled before the event loop waits for sockets again.
     pub(crate) fn push(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
+    /// Takes the oldest event from the queue.
     pub(crate) fn next_event(&mut self) -> Option<Event> {
         self.events.pop_front()
     }
 
-    /// Handles one event. The returned buffer is given back with [`EngineQueue::recycle`].
+    /// Handles one event and returns the resulting actions. The caller returns the buffer with [`EngineQueue::recycle`].
     pub(crate) fn handle<N: Transport>(
         &mut self,
         net: &mut N,
@@ -132,12 +133,13 @@
         actions
     }
 
-    /// Writes an action to the trace, with the decision that led to it.
+    /// Writes an action to the trace, with the reason of the decision that led to it.
     pub(crate) fn trace_action<N: Transport>(&self, net: &mut N, action: &Action) {
         self.trace
             .action(net, action, self.decision.decision_reason());
     }
 
+    /// Takes back the buffer of [`EngineQueue::handle`], which the caller has emptied, for the next event.
     pub(crate) fn recycle(&mut self, actions: Vec<Action>) {
         self.actions = actions;
     }
--- a/crates/node/src/event_trace.rs
+++ b/crates/node/src/event_trace.rs
@@ -1,8 +1,9 @@
-//! The event trace: one machine-readable line for each event. Off unless asked for, and then it costs one test of a flag.
+//! The event trace: one machine-readable line per event. It is disabled by default; disabled, it costs one check of a flag
+//! per event.
 //!
-//! A line is `trace t=MICROSECONDS WHAT` followed by fields `name=value`; the time counts from the start of the process.
-//! `docs/fleet-size.md` lists the lines. `sloewick trace` reads them, also those of the previous version, so their words do
-//! not change.
+//! A line has the form `trace t=MICROSECONDS EVENT`, followed by fields of the form `name=value`. The time is measured from the
+//! start of the process. `docs/fleet-size.md` lists the lines. `sloewick trace` parses them, including those of the previous
+//! version, so the words in them must not change.
 
 use std::fmt::Write as _;
 
@@ -12,27 +13,27 @@
 
 use crate::transport::Transport;
 
-/// What happened to an upstream connection.
+/// A step in the life of an upstream connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum ConnectionStep {
     /// The connection is being opened.
     Opening,
-    /// It was established after this time.
+    /// It was established, this many microseconds after its opening.
     Established(Micros),
     /// It could not be established.
     Refused,
-    /// The server closed or broke it, or violated the protocol.
+    /// The server closed it, it failed, or the server violated the protocol.
     Broken,
-    /// It was closed after its idle time.
+    /// It was closed after its maximum idle time.
     IdleTimeout,
-    /// It was closed with the attempt that it carried.
+    /// It was closed because the attempt or probe that it carried was abandoned.
     AttemptAbandoned,
-    /// It was closed to free its descriptor, or since its server is no longer in the endpoint list.
+    /// It was closed to free its descriptor, or because the endpoint list no longer names its server at its address.
     NotNeeded,
 }
 
 impl ConnectionStep {
-    /// The word for it in the trace.
+    /// The name of the step in the trace.
     fn trace_name(self) -> &'static str {
         match self {
             ConnectionStep::Opening => "Open",
@@ -46,19 +47,19 @@
     }
 }
 
-/// Writes the trace, if it is on.
+/// Writes the event trace if it is enabled.
 pub(crate) struct Trace {
-    on: bool,
+    is_enabled: bool,
 }
 
 impl Trace {
-    pub(crate) fn new(on: bool) -> Trace {
-        Trace { on }
+    pub(crate) fn new(is_enabled: bool) -> Trace {
+        Trace { is_enabled }
     }
 
-    /// An event that goes into the decision module.
+    /// Writes an event that is passed to the decision module.
     pub(crate) fn event<N: Transport>(&self, net: &mut N, event: &Event) {
-        if !self.on {
+        if !self.is_enabled {
             return;
         }
         let text = match event {
@@ -88,9 +89,9 @@
         write_line(net, &text);
     }
 
-    /// An action of the decision module, and the decision that led to it.
+    /// Writes an action of the decision module, with the reason of the decision that led to it.
     pub(crate) fn action<N: Transport>(&self, net: &mut N, action: &Action, reason: &str) {
-        if !self.on {
+        if !self.is_enabled {
             return;
         }
         let text = match action {
@@ -106,7 +107,7 @@
         write_line(net, &text);
     }
 
-    /// What happened to an upstream connection. Steps are collected only while the trace is on.
+    /// Writes a step of an upstream connection. The caller collects steps only while the trace is enabled.
     pub(crate) fn connection<N: Transport>(net: &mut N, server: &ServerId, step: ConnectionStep) {
         let mut text = format!("conn server={server} step={}", step.trace_name());
         if let ConnectionStep::Established(took) = step {
--- a/crates/node/src/event_trace_tests.rs
+++ b/crates/node/src/event_trace_tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use crate::test_support::FakeTransport;
 
-// `sloewick trace` reads these words, also from logs of earlier versions.
+// `sloewick trace` parses these words, also in logs of earlier versions.
 #[test]
-fn words_of_the_trace_do_not_change_with_the_names_in_the_code() {
+fn trace_lines_contain_the_words_that_earlier_versions_wrote() {
     let steps = [
         (ConnectionStep::Opening, "Open"),
         (ConnectionStep::Established(7), "Up us=7"),
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -1,7 +1,7 @@
-//! Hot restart: how the next process of a node takes over the state of this one, where two share the clients' listener.
+//! Hot restart: hands the state of this process over to the next process of the node, if both share the clients' listener.
 //!
-//! Once a second the decision module's checkpoint is saved as a snapshot, and a new process restores the last one before it
-//! serves. A snapshot that is too old, of another node or not readable is not restored.
+//! Once a second, the decision module's checkpoint is saved as a snapshot. A new process restores the latest snapshot before it
+//! serves. A snapshot that is too old, belongs to another node or cannot be read is not restored.
 
 use std::net::SocketAddr;
 
@@ -15,15 +15,15 @@
 use crate::io::Io;
 use crate::transport::{SnapshotSave, Transport};
 
-/// Version of the snapshot's content. It changes with [`Checkpoint`] and with the meaning of anything in it.
+/// Version of the snapshot's payload. It must change whenever [`Checkpoint`] or the meaning of any value in it changes.
 const VERSION: u16 = 1;
-/// How often a snapshot is saved.
+/// Time between two snapshots.
 const SAVE_INTERVAL: Micros = 1_000_000;
-/// The oldest snapshot that is restored: that of a process that was killed serves a successor that starts a moment later, not
-/// one that starts after a pause.
+/// Maximum age of a snapshot that is restored. The snapshot of a killed process is useful to a successor that starts a moment
+/// later, but not to one that starts after a pause.
 const MAX_AGE: Micros = 10_000_000;
 
-/// Why a snapshot is not restored. The text is that of the log line.
+/// The reason why a snapshot is not restored. Its text is part of the log line.
 #[derive(Debug, Error)]
 enum RestoreError {
     #[error("{0}")]
@@ -32,34 +32,37 @@
     Snapshot(SnapshotError),
     #[error("cannot be read: {0}")]
     Malformed(#[from] postcard::Error),
-    #[error("holds what no node remembers")]
+    #[error("contains invalid values")]
     Invalid,
 }
 
 /// Saves and restores snapshots.
 pub(crate) struct HotRestart {
-    /// Identifies the node whose snapshots are restored.
+    /// Identifies the node; only its snapshots are restored.
     owner: String,
+    /// When the next snapshot is due.
     next_save: Micros,
 }
 
 impl HotRestart {
-    /// For a node that listens at `listen` and serves the first `classes` classes of `names`, on a machine that was started at
-    /// `boot_id`: its clock before and after a start can't be compared.
+    /// For a node that listens on `listen` and serves the first `class_count` classes of `names`. `boot_id` identifies the last
+    /// boot of the machine, whose clock cannot be compared across boots.
     pub(crate) fn new(
         listen: SocketAddr,
         names: &Names,
-        classes: usize,
+        class_count: usize,
         boot_id: &str,
     ) -> HotRestart {
-        let classes: Vec<&str> = (0..classes).map(|class| names.class_name(class)).collect();
+        let classes: Vec<&str> = (0..class_count)
+            .map(|class| names.class_name(class))
+            .collect();
         HotRestart {
             owner: format!("node {listen} classes {} boot {boot_id}", classes.join(" ")),
             next_save: SAVE_INTERVAL,
         }
     }
 
-    /// Restores the checkpoint of the previous process, if there is one that is valid.
+    /// Restores the checkpoint of the previous process if there is a valid one.
     pub(crate) fn restore<N: Transport, M: DecisionEngine>(
         &self,
         io: &mut Io<N>,
@@ -79,7 +82,7 @@
                 let ms = age / 1000;
                 format!("handover: {servers} servers, {positions} positions, {ms} ms old")
             }
-            Err(why) => format!("handover: not taken up: {why}"),
+            Err(error) => format!("handover: not taken up: {error}"),
         };
         io.log(&line);
     }
@@ -89,7 +92,7 @@
         now >= self.next_save
     }
 
-    /// Saves a snapshot of the engine's checkpoint, if it has one.
+    /// Saves a snapshot of the engine's checkpoint, if the engine has one.
     pub(crate) fn save<N: Transport, M: DecisionEngine>(
         &mut self,
         now: Micros,
@@ -107,19 +110,21 @@
         let Ok(snapshot) = encode(&self.owner, VERSION, machine_time, &payload) else {
             return;
         };
-        if let SnapshotSave::Failed(why) = io.net.save_snapshot(snapshot) {
-            io.log(&format!("handover: not kept: {why}"));
+        if let SnapshotSave::Failed(reason) = io.net.save_snapshot(snapshot) {
+            io.log(&format!("handover: not kept: {reason}"));
         }
     }
 }
 
+/// A checkpoint from a snapshot.
 #[derive(Debug, PartialEq)]
 struct AgedCheckpoint {
     checkpoint: Checkpoint,
+    /// Time since the checkpoint was taken.
     age: Micros,
 }
 
-/// The checkpoint in a snapshot and its age at `machine_time`.
+/// Decodes and validates the checkpoint in a snapshot, and computes its age at `machine_time`.
 fn unpack(
     owner: &str,
     machine_time: Micros,
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -1,111 +1,117 @@
-//! The phases of a node's life: serving, evacuating its clients, shutting down gracefully. No I/O; time is an argument.
+//! The lifecycle of a node: serving, evacuating its clients, shutting down gracefully. Performs no I/O; time is an argument.
 //!
-//! Guarantees: while evacuating or shutting down, each connection is closed right behind a response, or after a bounded idle
-//! time if it carries no request. A shutdown ends by a stated time whatever the clients do, and cannot be revoked; an
+//! Guarantees: during an evacuation or a shutdown, each connection is closed right after a response, or after a bounded idle
+//! time if it carries no request. A shutdown ends by a fixed time, whatever the clients do, and cannot be cancelled; an
 //! evacuation can.
 
 use sloewick_decision::api::Micros;
 
-/// How long connections are still accepted after SIGTERM where no other process listens: new ones arrive for 0.4 s more.
+/// How long connections are still accepted after SIGTERM if no other process listens: new ones keep arriving for 0.4 s.
 const ACCEPT_AFTER_STOP: Micros = 500_000;
-/// The longest deadline that the time for a shutdown takes into account. A node that got SIGTERM is killed 0.7 s after the
-/// longest deadline at the earliest, of which 3 s count at most.
-const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// The process ends this much after the longest deadline, so that one which is held up for 0.15 s then still ends before the
-/// kill.
+/// Limit on the longest deadline when the time for a shutdown is computed. After SIGTERM a node has at least the longest
+/// deadline, limited to 3 s, plus 0.7 s before it is killed.
+const MAX_SHUTDOWN_DEADLINE: Micros = 3_000_000;
+/// Time from the longest deadline until the process exits. A process that is delayed by 0.15 s at that moment still exits
+/// before it is killed.
 const EXIT_MARGIN: Micros = 500_000;
-/// All requests get their final response this much after the longest deadline; the remaining time is for writing them out.
+/// Time from the longest deadline until all open requests get their final response. The time from then until the process exits
+/// is for writing the responses.
 const FINAL_RESPONSE_MARGIN: Micros = 400_000;
-/// While evacuating: how long a connection may stay without a request. 4 s after the request to evacuate no connection may
-/// be left; the times for evacuation and readiness are those of docs/operating.md and the same everywhere.
+/// How long a connection may stay open without a request during an evacuation. No connection may be left 4 s after the
+/// evacuation was requested. docs/operating.md states the times for evacuation and readiness, which are the same for all nodes.
 const MAX_IDLE_EVACUATING: Micros = 2_000_000;
-/// The same while shutting down; the last requests have the time that is left until the final responses.
+/// The same during a shutdown. The last requests have the time that is left until the final responses.
 const MAX_IDLE_STOPPING: Micros = 1_000_000;
-/// How long a connection that was accepted in one of these phases has for its first request.
+/// How long a connection that is accepted during an evacuation or a shutdown may wait for its first request.
 const MAX_IDLE_NEW: Micros = 500_000;
-/// How long a node that inherits its listener waits for an endpoint list from discovery before it reports readiness: it is
-/// not needed at once, but has to report within 6 s of its start.
+/// How long after its start a node with an inherited listener waits for an endpoint list from discovery before it reports
+/// readiness with the list that it has. It is not needed at once, but has to report readiness within 6 s of its start.
 const MAX_WAIT_FOR_LIST: Micros = 4_000_000;
 
+/// The phase of the lifecycle. The times are those at which an evacuation or a shutdown began.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
     Serving,
-    /// Evacuating clients, since then.
+    /// Evacuating clients since this time.
     Evacuating(Micros),
-    /// Shutting down, since then.
+    /// Shutting down since this time.
     Stopping(Micros),
-    /// Shutting down, with all listeners closed.
-    Closed(Micros),
+    /// Shutting down since this time, with all listeners closed.
+    ListenersClosed(Micros),
 }
 
 /// Whether connections are accepted from a listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Accept {
-    /// As usual.
+    /// Connections are accepted.
     Yes,
-    /// Those that wait now are the last; then the listener is closed.
+    /// The connections that are waiting now are the last to be accepted; then the listener is closed.
     Last,
-    /// Not any more.
+    /// Connections are no longer accepted.
     No,
 }
 
-/// The state of a node towards its clients and operators.
+/// The lifecycle of a node as its clients and operators observe it.
 #[derive(Debug)]
 pub(crate) struct Lifecycle {
     phase: Phase,
-    /// The listener for clients was inherited, and another process may accept from it.
+    /// Whether the clients' listener was inherited, so that another process may accept connections from it.
     inherited_listener: bool,
-    /// Discovery has sent an endpoint list.
-    discovery_answered: bool,
-    /// An endpoint list is there, from discovery or from the configuration.
+    /// Whether discovery has sent an endpoint list.
+    has_list_from_discovery: bool,
+    /// Whether the node has an endpoint list, from discovery or from the configuration.
     has_endpoint_list: bool,
-    /// When all open requests get their final response during a shutdown.
+    /// When all open requests get their final response during a shutdown; [`Micros::MAX`] otherwise.
     respond_by: Micros,
-    /// When the process ends during a shutdown.
+    /// When the process exits at the latest during a shutdown; [`Micros::MAX`] otherwise.
     exit_by: Micros,
 }
 
 impl Lifecycle {
-    /// `has_endpoint_list`: the configuration contains one.
+    /// `has_endpoint_list`: whether the configuration contains an endpoint list.
     pub(crate) fn new(inherited_listener: bool, has_endpoint_list: bool) -> Lifecycle {
         Lifecycle {
             phase: Phase::Serving,
             inherited_listener,
-            discovery_answered: false,
+            has_list_from_discovery: false,
             has_endpoint_list,
             respond_by: Micros::MAX,
             exit_by: Micros::MAX,
         }
     }
 
-    /// Discovery has sent an endpoint list.
+    /// Records that discovery has sent an endpoint list.
     pub(crate) fn endpoint_list_received(&mut self) {
-        (self.discovery_answered, self.has_endpoint_list) = (true, true);
+        (self.has_list_from_discovery, self.has_endpoint_list) = (true, true);
     }
 
-    /// Whether PING is answered positively. Only an evacuation changes that, upon which a load balancer in front sends no
-    /// more; at a shutdown the platform informs it.
+    /// Whether PING gets a positive response. It does not during an evacuation, so that a load balancer in front of the node
+    /// stops sending to it; on a shutdown the platform notifies the load balancer.
     pub(crate) fn answers_ping(&self) -> bool {
         !matches!(self.phase, Phase::Evacuating(_))
     }
 
     /// Whether this process is ready to serve.
     pub(crate) fn is_ready(&self, now: Micros) -> bool {
-        self.phase == Phase::Serving && self.is_informed(now)
+        self.phase == Phase::Serving && self.is_endpoint_list_ready(now)
     }
 
-    /// Whether the state of this process is worth saving for the next one: also while evacuating, but not while shutting
-    /// down, when its successor already serves.
+    /// Whether this process saves its state for the next one. It does so while serving and while evacuating, but not while
+    /// shutting down, when its successor already serves.
     pub(crate) fn saves_snapshots(&self, now: Micros) -> bool {
-        matches!(self.phase, Phase::Serving | Phase::Evacuating(_)) && self.is_informed(now)
+        matches!(self.phase, Phase::Serving | Phase::Evacuating(_))
+            && self.is_endpoint_list_ready(now)
     }
 
-    fn is_informed(&self, now: Micros) -> bool {
+    /// Whether the node has an endpoint list and need not wait for one from discovery.
+    fn is_endpoint_list_ready(&self, now: Micros) -> bool {
         self.has_endpoint_list
-            && (!self.inherited_listener || self.discovery_answered || now >= MAX_WAIT_FOR_LIST)
+            && (!self.inherited_listener
+                || self.has_list_from_discovery
+                || now >= MAX_WAIT_FOR_LIST)
     }
 
-    /// Starts an evacuation; false if the node is shutting down.
+    /// Starts an evacuation, unless one is under way. Returns false if the node is shutting down.
     pub(crate) fn evacuate(&mut self, now: Micros) -> bool {
         if self.phase == Phase::Serving {
             self.phase = Phase::Evacuating(now);
@@ -113,7 +119,7 @@
         matches!(self.phase, Phase::Evacuating(_))
     }
 
-    /// Ends an evacuation; false if the node is shutting down.
+    /// Ends an evacuation, if one is under way. Returns false if the node is shutting down.
     pub(crate) fn rejoin(&mut self) -> bool {
         if let Phase::Evacuating(_) = self.phase {
             self.phase = Phase::Serving;
@@ -121,49 +127,50 @@
         self.phase == Phase::Serving
     }
 
-    /// Starts a graceful shutdown; true the first time.
+    /// Starts a graceful shutdown. Returns false if one is under way. `longest_deadline`: the longest of all classes.
     pub(crate) fn stop(&mut self, now: Micros, longest_deadline: Micros) -> bool {
-        if matches!(self.phase, Phase::Stopping(_) | Phase::Closed(_)) {
+        if matches!(self.phase, Phase::Stopping(_) | Phase::ListenersClosed(_)) {
             return false;
         }
         self.phase = Phase::Stopping(now);
-        let counted = longest_deadline.clamp(0, MAX_COUNTED_DEADLINE);
-        self.respond_by = now + counted + FINAL_RESPONSE_MARGIN;
-        self.exit_by = now + counted + EXIT_MARGIN;
+        let deadline = longest_deadline.clamp(0, MAX_SHUTDOWN_DEADLINE);
+        self.respond_by = now + deadline + FINAL_RESPONSE_MARGIN;
+        self.exit_by = now + deadline + EXIT_MARGIN;
         true
     }
 
-    /// When the last final responses are given, after which no request is accepted; never, unless shutting down.
+    /// When all open requests get their final response; no request is accepted from then on. [`Micros::MAX`] unless shutting
+    /// down.
     pub(crate) fn respond_by(&self) -> Micros {
         self.respond_by
     }
 
-    /// When the process ends at the latest; never, unless shutting down.
+    /// When the process exits at the latest; [`Micros::MAX`] unless shutting down.
     pub(crate) fn exit_by(&self) -> Micros {
         self.exit_by
     }
 
-    /// Whether connections are accepted from a listener; `inherited`: it is the inherited one.
+    /// Whether connections are accepted from a listener. `inherited`: whether the listener was inherited.
     pub(crate) fn accepts(&self, now: Micros, inherited: bool) -> Accept {
         match self.phase {
             Phase::Serving | Phase::Evacuating(_) => Accept::Yes,
-            // Connections that wait there belong to the other process.
-            Phase::Stopping(_) | Phase::Closed(_) if inherited => Accept::No,
+            // The other process accepts the connections that are waiting at the shared listener.
+            Phase::Stopping(_) | Phase::ListenersClosed(_) if inherited => Accept::No,
             Phase::Stopping(since) if now - since < ACCEPT_AFTER_STOP => Accept::Yes,
             Phase::Stopping(_) => Accept::Last,
-            Phase::Closed(_) => Accept::No,
+            Phase::ListenersClosed(_) => Accept::No,
         }
     }
 
-    /// All listeners are closed.
+    /// Records that all listeners are closed.
     pub(crate) fn listeners_closed(&mut self) {
         if let Phase::Stopping(since) = self.phase {
-            self.phase = Phase::Closed(since);
+            self.phase = Phase::ListenersClosed(since);
         }
     }
 
-    /// Whether a connection without a pending response is closed now. `accepted`: when it was accepted; `last_request`:
-    /// when its last request arrived.
+    /// Whether a connection without a pending response is closed at `now`. `accepted`: when it was accepted; `last_request`:
+    /// when its last request arrived, None if it has carried none.
     pub(crate) fn closes_idle(
         &self,
         now: Micros,
@@ -173,22 +180,25 @@
         let (since, max_idle) = match self.phase {
             Phase::Serving => return false,
             Phase::Evacuating(since) => (since, MAX_IDLE_EVACUATING),
-            Phase::Stopping(_) | Phase::Closed(_) if now >= self.respond_by => return true,
-            Phase::Stopping(since) | Phase::Closed(since) => (since, MAX_IDLE_STOPPING),
+            Phase::Stopping(_) | Phase::ListenersClosed(_) if now >= self.respond_by => {
+                return true
+            }
+            Phase::Stopping(since) | Phase::ListenersClosed(since) => (since, MAX_IDLE_STOPPING),
         };
         last_request.is_some_and(|at| at >= since)
             || now >= (since + max_idle).max(accepted + MAX_IDLE_NEW)
     }
 
-    /// Whether connections are being closed, so that they have to be checked after each response.
+    /// Whether client connections are being closed, so that each one has to be checked after a response.
     pub(crate) fn is_closing_clients(&self) -> bool {
         self.phase != Phase::Serving
     }
 
-    /// Whether the process ends now.
+    /// Whether the process exits at `now`.
     pub(crate) fn is_over(&self, now: Micros, has_clients: bool) -> bool {
-        // Also if connections wait for which no capacity is left: the kill that follows answers nobody.
-        now >= self.exit_by || matches!(self.phase, Phase::Closed(_)) && !has_clients
+        // At `exit_by` the process exits even if connections are waiting for which it has no capacity: waiting until it is
+        // killed would not answer them either.
+        now >= self.exit_by || matches!(self.phase, Phase::ListenersClosed(_)) && !has_clients
     }
 }
 
--- a/crates/node/src/lifecycle_tests.rs
+++ b/crates/node/src/lifecycle_tests.rs
@@ -3,7 +3,7 @@
 const S: Micros = 1_000_000;
 
 #[test]
-fn node_with_own_listener_is_ready_with_a_list_and_accepts_for_a_while_when_stopping() {
+fn node_with_its_own_listener_is_ready_with_a_list_and_accepts_for_500_ms_after_a_stop() {
     let mut lifecycle = Lifecycle::new(false, false);
     assert!(!lifecycle.is_ready(0), "no endpoint list yet");
     lifecycle.endpoint_list_received();
@@ -14,7 +14,7 @@
     assert_eq!(lifecycle.accepts(10 * S + 500_000, false), Accept::Last);
     assert!(
         !lifecycle.is_over(10 * S + 500_000, false),
-        "its listener is open"
+        "its listener is still open"
     );
     lifecycle.listeners_closed();
     assert_eq!(lifecycle.accepts(11 * S, false), Accept::No);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn process_with_inherited_listener_waits_for_discovery_and_stops_accepting_at_once() {
+fn process_with_an_inherited_listener_waits_for_discovery_and_stops_accepting_at_once() {
     let mut lifecycle = Lifecycle::new(true, true);
     assert!(
         !lifecycle.is_ready(0)
@@ -34,7 +34,7 @@
     );
     assert!(
         lifecycle.is_ready(MAX_WAIT_FOR_LIST),
-        "its last list has to do"
+        "it uses the list of its configuration"
     );
     lifecycle.endpoint_list_received();
     assert!(lifecycle.is_ready(0));
@@ -46,19 +46,22 @@
             && !lifecycle.is_ready(S)
     );
     lifecycle.stop(S, 2 * S);
-    assert!(!lifecycle.saves_snapshots(S), "the next one is there");
+    assert!(
+        !lifecycle.saves_snapshots(S),
+        "its successor already serves"
+    );
     assert_eq!(
         (lifecycle.accepts(S, true), lifecycle.accepts(S, false)),
         (Accept::No, Accept::Yes)
     );
-    let mut blind = Lifecycle::new(true, false);
-    assert!(!blind.is_ready(60 * S), "no list at all");
-    blind.endpoint_list_received();
-    assert!(blind.is_ready(60 * S));
+    let mut without_list = Lifecycle::new(true, false);
+    assert!(!without_list.is_ready(60 * S), "it has no list");
+    without_list.endpoint_list_received();
+    assert!(without_list.is_ready(60 * S));
 }
 
 #[test]
-fn evacuation_closes_connections_behind_responses_and_idle_ones_within_its_time() {
+fn evacuation_closes_connections_after_responses_and_idle_ones_after_2_s() {
     let mut lifecycle = Lifecycle::new(false, true);
     assert!(!lifecycle.closes_idle(99 * S, 0, Some(98 * S)), "serving");
     assert!(
@@ -74,15 +77,15 @@
     assert_eq!(
         lifecycle.accepts(12 * S, true),
         Accept::Yes,
-        "connections still come and are answered"
+        "new connections are still accepted"
     );
     assert!(
         lifecycle.closes_idle(10 * S, 0, Some(10 * S)),
-        "asked since, answered: now"
+        "its request since the evacuation began has been answered"
     );
     assert!(
         !lifecycle.closes_idle(12 * S - 1, 0, Some(10 * S - 1)),
-        "its client may be about to write"
+        "its client may be about to send a request"
     );
     assert!(
         lifecycle.closes_idle(12 * S, 0, Some(10 * S - 1))
@@ -97,9 +100,10 @@
     assert!(lifecycle.rejoin());
 }
 
-// Guards against long deadlines: with 20 s the process would end after 20.6 s, and is killed after 3.7 s.
+// Guards against long deadlines that count in full: with a deadline of 20 s the process would end after 20.6 s, but it is
+// killed after 3.7 s.
 #[test]
-fn final_responses_are_given_and_the_process_ends_before_the_kill_for_any_deadline() {
+fn final_responses_and_exit_precede_the_kill_for_any_deadline() {
     for (longest, kill) in [
         (0, 700_000),
         (400_000, 1_100_000),
@@ -110,17 +114,17 @@
         assert_eq!(
             lifecycle.respond_by(),
             Micros::MAX,
-            "nothing is cut short while it serves"
+            "no request is ended early while the node serves"
         );
         lifecycle.stop(10 * S, longest);
         let by = lifecycle.respond_by();
-        // Requests accepted before, with the longest deadline that counts, have their full time.
+        // Requests accepted before the shutdown have their full time, up to the deadline limit of 3 s.
         assert!(by > 10 * S + longest.min(3 * S) && by < 10 * S + kill - 200_000);
         assert!(
             lifecycle.closes_idle(by, by, None),
-            "also a connection that has just come"
+            "also a connection that has just been accepted"
         );
-        // One that is held up for 0.15 s at its end still ends before the kill.
+        // A process that is delayed by 0.15 s at its end still exits before it is killed.
         let exit_by = lifecycle.exit_by();
         assert!(by < exit_by && exit_by < 10 * S + kill - 150_000);
         assert!(!lifecycle.is_over(by, true) && lifecycle.is_over(exit_by, true));
@@ -128,7 +132,7 @@
 }
 
 #[test]
-fn shutdown_ends_an_evacuation_and_cannot_be_revoked() {
+fn shutdown_ends_an_evacuation_and_cannot_be_cancelled() {
     let mut lifecycle = Lifecycle::new(false, true);
     lifecycle.evacuate(S);
     assert!(lifecycle.stop(2 * S, S));
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,48 +1,51 @@
-//! The node's metrics: counters since the process started, and gauges read at the moment of the request.
+//! The node's metrics: counters since the process started, and gauges that are read when the metrics are requested.
 
 use std::fmt::Write;
 
 use crate::frontend::response::FinalResponse;
 
-/// Final responses of one class.
+/// Numbers of final responses of one class.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ClassCounters {
+    /// Responses with a value, or that there is none.
     answered: u64,
+    /// Rejections, which the client may retry.
     deferred: u64,
+    /// Failures.
     errored: u64,
 }
 
-/// Counters since the process started. One entry for each class, so bounded by the settings.
+/// Counters since the process started. There is one entry per class, so the settings bound their number.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
     classes: Vec<ClassCounters>,
 }
 
-/// The state of the node at the moment of the request.
+/// The state of the node when the metrics are requested.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Gauges {
-    /// Attempts written completely to cache servers since the process started.
+    /// Number of attempts written completely to cache servers since the process started.
     pub(crate) sends: u64,
-    /// Requests whose responses have not been written completely.
+    /// Number of requests whose responses have not been written completely.
     pub(crate) current: usize,
-    /// Cache servers in the endpoint list.
+    /// Number of cache servers in the endpoint list.
     pub(crate) cluster_size: usize,
-    /// Cache servers in the endpoint list that get no requests now.
+    /// Number of cache servers in the endpoint list that currently receive no requests.
     pub(crate) cluster_unhealthy: usize,
-    /// Cache servers that retain only a fraction of their keys, being outliers.
+    /// Number of outliers: cache servers in the endpoint list that retain only a fraction of their keys.
     pub(crate) cluster_outliers: usize,
-    /// The origin behind the cache servers counts as overloaded. The metric is named `origin_jam`.
+    /// Whether the origin behind the cache servers is considered overloaded. The metric is named `origin_jam`.
     pub(crate) origin_overloaded: bool,
 }
 
 impl Metrics {
-    pub(crate) fn new(classes: usize) -> Metrics {
+    pub(crate) fn new(class_count: usize) -> Metrics {
         Metrics {
-            classes: vec![ClassCounters::default(); classes],
+            classes: vec![ClassCounters::default(); class_count],
         }
     }
 
-    /// Counts a final response.
+    /// Counts a final response, unless its class is unknown.
     pub(crate) fn count(&mut self, class: usize, response: &FinalResponse) {
         let Some(counters) = self.classes.get_mut(class) else {
             return;
@@ -54,7 +57,7 @@
         }
     }
 
-    /// One line for each metric: `name=number`, those of a class as `name.CLASS=number`.
+    /// Formats the metrics, one per line: `name=number`, or `name.CLASS=number` for those of a class.
     pub(crate) fn text<'a>(
         &self,
         class_name: impl Fn(usize) -> &'a str,
--- a/crates/node/src/metrics_tests.rs
+++ b/crates/node/src/metrics_tests.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 
 #[test]
-fn each_final_response_counts_once_under_its_class() {
+fn each_final_response_is_counted_once_in_its_class() {
     let mut metrics = Metrics::new(2);
     for (class, response) in [
         (0, FinalResponse::Value(Bytes::new())),
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -1,5 +1,5 @@
-//! Reading the configuration again on SIGHUP. A file that cannot be read or used at the signal may be so a moment later: it is
-//! read again for a while.
+//! Reloads the configuration on SIGHUP. A file that cannot be read or used when the signal arrives may be usable a moment
+//! later, so a failed reload is retried for a while.
 
 use sloewick_decision::api::Micros;
 use sloewick_decision::settings::SettingsError;
@@ -7,30 +7,32 @@
 use crate::config::Config;
 use crate::timers::{TimerEvent, Timers};
 
-/// How long after a signal a failed reload is repeated, and how often.
-const MAX_REPEAT_TIME: Micros = 5_000_000;
-const REPEAT_INTERVAL: Micros = 100_000;
+/// How long after a signal a failed reload is retried.
+const MAX_RETRY_TIME: Micros = 5_000_000;
+/// Time between two retries.
+const RETRY_INTERVAL: Micros = 100_000;
 
-/// Where the configuration comes from when it is read again.
+/// Reads the configuration again, for a reload.
 pub type ConfigSource = Box<dyn FnMut() -> Result<Config, SettingsError>>;
 
-/// What a reload has led to.
+/// The result of a reload.
 pub(crate) enum ReloadOutcome {
-    /// The configuration was read.
+    /// The configuration was read and can be used.
     Done(Box<Config>),
-    /// It cannot be used; it is read again.
+    /// The first read after a signal failed; it is retried.
     Failed(SettingsError),
-    /// It still cannot be used; it is read again.
+    /// A retry failed; there will be another one.
     StillFailing,
-    /// It cannot be used, and is not read again until the next signal.
+    /// The last retry failed; the configuration is not read again until the next signal.
     GivenUp(SettingsError),
 }
 
-/// The source of the configuration, and until when it is read again.
+/// The source of the configuration, and the state of the retries.
 pub(crate) struct Reload {
     source: ConfigSource,
-    repeat_until: Micros,
-    /// A timer for the next repetition is set.
+    /// When the retries end; 0: the last reload has succeeded, or there was none.
+    retry_until: Micros,
+    /// Whether the timer for the next retry is set.
     is_scheduled: bool,
 }
 
@@ -38,14 +40,14 @@
     pub(crate) fn new(source: ConfigSource) -> Reload {
         Reload {
             source,
-            repeat_until: 0,
+            retry_until: 0,
             is_scheduled: false,
         }
     }
 
-    /// SIGHUP has arrived.
+    /// Handles SIGHUP: reads the configuration, and schedules a retry if that fails.
     pub(crate) fn signalled(&mut self, now: Micros, timers: &mut Timers) -> ReloadOutcome {
-        self.repeat_until = now + MAX_REPEAT_TIME;
+        self.retry_until = now + MAX_RETRY_TIME;
         match (self.source)() {
             Ok(config) => self.done(config),
             Err(error) => {
@@ -55,19 +57,19 @@
         }
     }
 
-    /// The timer for a repetition has expired. None: a reload has succeeded meanwhile.
+    /// Handles the expiry of the retry timer. Returns None if a reload has succeeded since the timer was set.
     pub(crate) fn timer_expired(
         &mut self,
         now: Micros,
         timers: &mut Timers,
     ) -> Option<ReloadOutcome> {
         self.is_scheduled = false;
-        if self.repeat_until == 0 {
+        if self.retry_until == 0 {
             return None;
         }
         let outcome = match (self.source)() {
             Ok(config) => self.done(config),
-            Err(error) if now >= self.repeat_until => ReloadOutcome::GivenUp(error),
+            Err(error) if now >= self.retry_until => ReloadOutcome::GivenUp(error),
             Err(_) => {
                 self.schedule(now, timers);
                 ReloadOutcome::StillFailing
@@ -77,14 +79,14 @@
     }
 
     fn done(&mut self, config: Config) -> ReloadOutcome {
-        self.repeat_until = 0;
+        self.retry_until = 0;
         ReloadOutcome::Done(Box::new(config))
     }
 
     fn schedule(&mut self, now: Micros, timers: &mut Timers) {
         if !self.is_scheduled {
             self.is_scheduled = true;
-            timers.set(now + REPEAT_INTERVAL, TimerEvent::Reload);
+            timers.set(now + RETRY_INTERVAL, TimerEvent::Reload);
         }
     }
 }
--- a/crates/node/src/reload_tests.rs
+++ b/crates/node/src/reload_tests.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 
-/// A source that has these results, the last one again and again.
-fn source(results: &[bool]) -> (ConfigSource, Rc<RefCell<usize>>) {
+/// A source that succeeds (true) or fails in this order and repeats the last result, with the number of its reads.
+fn scripted_source(results: &[bool]) -> (ConfigSource, Rc<RefCell<usize>>) {
     let reads = Rc::new(RefCell::new(0));
     let (results, count) = (results.to_vec(), reads.clone());
     let read = move || {
@@ -19,7 +19,7 @@
     (Box::new(read), reads)
 }
 
-/// Expires timers until none is set; the outcomes and the time of the last.
+/// Expires timers until none is set. Returns the outcomes, and the time of the last timer.
 fn expire_all(reload: &mut Reload, timers: &mut Timers) -> (Vec<ReloadOutcome>, Micros) {
     let (mut outcomes, mut last) = (Vec::new(), 0);
     while let Some(at) = timers.next() {
@@ -31,8 +31,8 @@
 }
 
 #[test]
-fn failed_reload_is_repeated_until_it_succeeds() {
-    let (source, reads) = source(&[false, false, false, true]);
+fn failed_reload_is_retried_until_it_succeeds() {
+    let (source, reads) = scripted_source(&[false, false, false, true]);
     let (mut reload, mut timers) = (Reload::new(source), Timers::default());
     assert!(matches!(
         reload.signalled(0, &mut timers),
@@ -51,18 +51,18 @@
 }
 
 #[test]
-fn reload_that_never_succeeds_is_given_up() {
-    let (source, _) = source(&[false]);
+fn reload_that_never_succeeds_is_given_up_after_the_retry_time() {
+    let (source, _) = scripted_source(&[false]);
     let (mut reload, mut timers) = (Reload::new(source), Timers::default());
     reload.signalled(0, &mut timers);
     let (outcomes, last) = expire_all(&mut reload, &mut timers);
     assert!(matches!(outcomes.last(), Some(ReloadOutcome::GivenUp(_))));
-    assert_eq!(last, MAX_REPEAT_TIME);
+    assert_eq!(last, MAX_RETRY_TIME);
 }
 
 #[test]
-fn second_signal_ends_the_repetitions_of_the_first() {
-    let (source, reads) = source(&[false, true]);
+fn success_after_a_second_signal_ends_the_retries_of_the_first() {
+    let (source, reads) = scripted_source(&[false, true]);
     let (mut reload, mut timers) = (Reload::new(source), Timers::default());
     reload.signalled(0, &mut timers);
     assert!(matches!(
--- a/crates/node/src/test_support.rs
+++ b/crates/node/src/test_support.rs
@@ -1,5 +1,5 @@
-//! What unit tests share: a connection whose input the test writes and whose output it reads, a transport of such connections,
-//! and a configuration.
+//! Helpers for unit tests: a fake connection whose input the test provides and whose output it inspects, a transport that opens
+//! such connections, and a configuration.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -11,7 +11,7 @@
 
 use crate::transport::{PendingSignals, ReadyEvent, Stream, Token, Transport};
 
-/// The event of a connection that has come up.
+/// The event of a connection that has been established.
 pub(crate) fn connected(token: Token) -> ReadyEvent {
     ReadyEvent {
         token,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The event of a connection on which the peer has ended its sending, perhaps behind some input.
+/// The event of a connection whose peer has shut down its sending side, possibly after sending some input.
 pub(crate) fn input_ended(token: Token) -> ReadyEvent {
     ReadyEvent {
         readable: true,
@@ -31,21 +31,25 @@
     }
 }
 
-/// The state of a [`FakeStream`], shared with the test.
+/// The state of a [`FakeStream`], which the stream shares with the test.
 #[derive(Default)]
 pub(crate) struct FakeConnection {
+    /// Bytes from the peer that have not been read.
     pub(crate) input: VecDeque<u8>,
-    /// The peer has ended its sending behind the input.
+    /// Whether the peer has shut down its sending side after the input.
     pub(crate) input_ended: bool,
-    /// The connection is reset behind the input. Only a read reports it, as if it came behind the check for an error.
+    /// Whether the connection is reset after the input. Only a read reports this, as if the reset arrived after the check for an
+    /// error.
     pub(crate) is_reset: bool,
+    /// Bytes that were written to the peer.
     pub(crate) output: Vec<u8>,
+    /// Whether this side has shut down its sending side.
     pub(crate) output_ended: bool,
-    /// The connection is not established yet.
+    /// Whether the connection is still being established.
     pub(crate) connecting: bool,
 }
 
-/// One end of a [`FakeConnection`].
+/// The node's end of a [`FakeConnection`].
 #[derive(Clone, Default)]
 pub(crate) struct FakeStream(pub(crate) Rc<RefCell<FakeConnection>>);
 
@@ -65,7 +69,7 @@
 
     fn write(&mut self, chunks: &[IoSlice<'_>]) -> io::Result<usize> {
         let mut connection = self.0.borrow_mut();
-        assert!(!connection.output_ended, "written behind the end");
+        assert!(!connection.output_ended, "write after shutdown_write");
         for chunk in chunks {
             connection.output.extend_from_slice(chunk);
         }
@@ -96,7 +100,7 @@
     fn limit_send_buffer(&mut self, _bytes: usize) {}
 }
 
-/// The network as one node sees it: its clock, the connections that it opens, and its trace.
+/// The transport of one node: its clock, the connections that it has opened, and the lines of its trace.
 #[derive(Default)]
 pub(crate) struct FakeTransport {
     pub(crate) now: Micros,
--- a/crates/node/src/timers.rs
+++ b/crates/node/src/timers.rs
@@ -1,7 +1,8 @@
 //! The node's timers, earliest first.
 //!
-//! A timer cannot be cancelled; whoever set it ignores it when it no longer matters, as the decision module does with its
-//! own. Each request sets a bounded number of timers and all of them expire within its time, which bounds the heap.
+//! A timer cannot be cancelled; the code that set it ignores its expiry when it no longer matters, as the decision module does
+//! with its own timers. Each request sets a bounded number of timers, all of which expire within the request's time, which
+//! bounds the heap.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -10,21 +11,21 @@
 
 use crate::attempt_id::AttemptId;
 
-/// What a timer was set for. Keys are slab keys; serials tell whether a key still stands for the same thing.
+/// The event that a timer was set for. Keys are slab keys; a serial tells whether a key still refers to the same object.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerEvent {
-    /// A timer of the decision module, by its token.
+    /// A timer of the decision module, identified by its token, has expired.
     DecisionEngine(u64),
     /// An attempt times out.
     Attempt(AttemptId),
-    /// An upstream connection has taken too long to open, or a probe to be answered.
+    /// An upstream connection has taken too long to be established, or a probe to be answered.
     Upstream {
         /// Key of the connection.
         connection: usize,
         /// Serial of the connection.
         serial: u64,
     },
-    /// A client that has ended its sending counts as disconnected from now on.
+    /// A client that has shut down its sending side counts as disconnected from now on.
     ClientDisconnected {
         /// Key of the client connection.
         client: usize,
@@ -33,39 +34,40 @@
     },
     /// During a graceful shutdown: all open requests get their final response now.
     FinalResponses,
-    /// During a graceful shutdown: the process ends now.
+    /// During a graceful shutdown: the process exits now.
     Exit,
-    /// A request to discovery has taken too long, or the next one is due.
+    /// A request to discovery has timed out, or the next one is due.
     Discovery {
         /// Serial of the request.
         serial: u64,
     },
-    /// A reload that failed is repeated.
+    /// A failed reload is retried.
     Reload,
-    /// Connections without a deadline of their own are checked.
+    /// The periodic check of everything that has no timer of its own is due.
     Sweep,
 }
 
-/// The heap of timers; timers for the same time keep the order in which they were set.
+/// The heap of timers. Timers for the same time expire in the order in which they were set.
 #[derive(Default)]
 pub(crate) struct Timers {
+    /// Time, sequence number and event of each timer.
     heap: BinaryHeap<Reverse<(Micros, u64, TimerEvent)>>,
-    set_count: u64,
+    last_sequence: u64,
 }
 
 impl Timers {
-    /// Sets a timer.
+    /// Sets a timer that expires at `at`.
     pub(crate) fn set(&mut self, at: Micros, event: TimerEvent) {
-        self.set_count += 1;
-        self.heap.push(Reverse((at, self.set_count, event)));
+        self.last_sequence += 1;
+        self.heap.push(Reverse((at, self.last_sequence, event)));
     }
 
-    /// The time of the earliest timer.
+    /// The time of the earliest timer; None if no timer is set.
     pub(crate) fn next(&self) -> Option<Micros> {
         self.heap.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Takes the earliest timer that has expired by `now`.
+    /// Takes the earliest timer if it has expired by `now`.
     pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<TimerEvent> {
         self.next().filter(|at| *at <= now)?;
         self.heap.pop().map(|Reverse((.., event))| event)
--- a/crates/node/src/timers_tests.rs
+++ b/crates/node/src/timers_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn timers_expire_in_order_of_time_then_of_setting() {
+fn timers_expire_by_time_and_then_in_the_order_in_which_they_were_set() {
     let mut timers = Timers::default();
     for (at, token) in [(30, 1), (10, 2), (10, 3), (40, 4)] {
         timers.set(at, TimerEvent::DecisionEngine(token));
--- a/crates/node/src/tokens.rs
+++ b/crates/node/src/tokens.rs
@@ -1,7 +1,7 @@
 //! The tokens under which the node registers its sockets with the [`Transport`](crate::transport::Transport).
 //!
-//! Single sockets have fixed tokens. Connections follow from [`FIRST_CONNECTION`] on: clients have even tokens, upstream
-//! connections odd ones.
+//! Listeners, the connection to discovery and signals have fixed tokens, and admin clients a fixed range. The tokens of other
+//! connections begin at [`FIRST_CONNECTION`]: client connections have even tokens, upstream connections odd ones.
 
 use crate::admin::server::MAX_ADMIN_CLIENTS;
 use crate::transport::{Token, SIGNALS};
@@ -21,7 +21,7 @@
         && FIRST_CONNECTION.is_multiple_of(2)
 );
 
-/// What a token was registered for.
+/// The socket or signal source that a token stands for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum TokenOwner {
     /// One of the listeners for clients.
@@ -29,11 +29,11 @@
     Signals,
     Discovery,
     AdminListener,
-    /// An admin client, by its key.
+    /// The admin client with this key.
     AdminClient(usize),
-    /// A client connection, by its key.
+    /// The client connection with this key.
     Client(usize),
-    /// An upstream connection, by its key.
+    /// The upstream connection with this key.
     Upstream(usize),
 }
 
--- a/crates/node/src/tokens_tests.rs
+++ b/crates/node/src/tokens_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn token_identifies_the_socket_that_it_was_made_for() {
+fn each_token_maps_back_to_its_owner() {
     for (token, owner) in [
         (RESP2_LISTENER, TokenOwner::ClientListener),
         (MEMCACHED_LISTENER, TokenOwner::ClientListener),
--- a/crates/node/tests/nodelay.rs
+++ b/crates/node/tests/nodelay.rs
@@ -1,4 +1,5 @@
-//! Small writes are not delayed by the system: they would be lost with a connection that is reset behind them.
+//! `TCP_NODELAY` is set on all connections. Otherwise the kernel delays small writes, which are lost if the connection is reset
+//! after them.
 
 use std::io::ErrorKind;
 use std::time::{Duration, Instant};
@@ -12,7 +13,7 @@
     let mut transport = MioTransport::new().unwrap();
     let opened = transport.connect(server.local_addr().unwrap(), 1).unwrap();
     assert!(opened.nodelay().unwrap(), "opened");
-    let begun = Instant::now();
+    let started = Instant::now();
     let (mut listener, address) = loop {
         // A port that was free a moment ago may have been taken.
         let free = std::net::TcpListener::bind("127.0.0.1:0")
@@ -21,7 +22,7 @@
             .unwrap();
         match transport.listen(free, 2) {
             Ok(listener) => break (listener, free),
-            Err(e) => assert!(begun.elapsed() < Duration::from_secs(30), "{e}"),
+            Err(e) => assert!(started.elapsed() < Duration::from_secs(30), "{e}"),
         }
     };
     let _client = std::net::TcpStream::connect(address).unwrap();
@@ -30,7 +31,8 @@
             Ok(accepted) => break accepted,
             Err(e) => {
                 assert!(
-                    e.kind() == ErrorKind::WouldBlock && begun.elapsed() < Duration::from_secs(30)
+                    e.kind() == ErrorKind::WouldBlock
+                        && started.elapsed() < Duration::from_secs(30)
                 );
             }
         }
