--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -1,20 +1,20 @@
-//! Admission: which requests are rejected at once, and how a request ends that is not answered.
+//! Admission: which requests are rejected on arrival, and how a request without a response ends.
 //!
-//! Guarantees: a request is rejected only where a retry is harmless, and fails otherwise.
+//! Guarantees: a request is rejected only if a retry is harmless, and fails otherwise.
 
 use crate::api::{Action, Actions, Micros};
 use crate::balancer::Balancer;
 use crate::selection::Target;
 use crate::status::DecisionReason;
 
-/// Late fraction above which the node counts as overloaded: tenants over their quota are rejected, and
-/// requests beyond what an overrun server answers in time.
+/// Fractions of late requests above which the node counts as overloaded: it rejects requests of tenants over
+/// their quota, and requests beyond what an overrun server answers in time.
 const OVER_QUOTA_LATE_FRACTION: f64 = 0.25;
 const OVERRUN_LATE_FRACTION: f64 = 0.2;
 
 impl Balancer {
-    /// Why a request that has just arrived is rejected, if it is.
-    pub(crate) fn rejection(
+    /// Returns why a request that has just arrived is rejected, or None if it is admitted.
+    pub(crate) fn rejection_reason(
         &mut self,
         now: Micros,
         serial: u64,
@@ -34,13 +34,14 @@
         if !self.is_admitted(now, serial) {
             return Some(DecisionReason::Admission);
         }
-        self.is_overrun(now, serial)
+        self.would_overrun_server(now, serial)
             .then_some(DecisionReason::ServerOverrun)
     }
 
-    /// Guards against congestion behind a slow or flooded origin: fetches that fail hold their servers until
-    /// nothing is answered. While attempts fail, keys not served recently, which would be fetched, are let
-    /// through rarely, recently served keys and writes longer; now and then one is a probe.
+    /// Returns whether a request is admitted while attempts fail. Guards against congestion behind a slow or
+    /// overloaded origin: failing fetches occupy their servers until nothing is answered. Requests for keys
+    /// not served recently, which would be fetched, are admitted rarely, with one as a probe from time to
+    /// time; recently served keys and writes are restricted later.
     pub(crate) fn is_admitted(&mut self, now: Micros, serial: u64) -> bool {
         let request = &self.in_flight.requests[&serial];
         let deadline = self.settings.classes[request.request.class].deadline;
@@ -48,10 +49,11 @@
             .admits(now, request.kind(), deadline, || self.rng.next_unit())
     }
 
-    /// Guards against queues that make every answer late: what an overrun home server cannot answer in time
-    /// and no healthy one takes is rejected at once, the same keys first. A home that warms up and that no
-    /// healthy server relieves is protected in any case: it would be overloaded.
-    fn is_overrun(&self, now: Micros, serial: u64) -> bool {
+    /// Returns whether a request is beyond what its server can answer in time. Guards against queues that
+    /// make every response late: what an overrun home cannot answer in time and no healthy server takes is
+    /// rejected, always the same keys first. A home that warms up and that no healthy server relieves is
+    /// protected even if few responses are late: it would be overloaded.
+    fn would_overrun_server(&self, now: Micros, serial: u64) -> bool {
         let request = &self.in_flight.requests[&serial];
         let Some(Target::Partition(index)) = self.select(now, request) else {
             return false;
@@ -71,7 +73,7 @@
         warm_up < 1.0 && !self.is_within_range(now, request, index, max_fraction)
     }
 
-    /// Ends a request without an answer: rejected where that is allowed, failed otherwise.
+    /// Ends a request without a response: rejects it if that is allowed, fails it otherwise.
     pub(crate) fn finish(
         &mut self,
         now: Micros,
@@ -99,11 +101,11 @@
         self.end_request(serial, overloaded, actions);
     }
 
-    /// When the client of a rejected request ought to come back (0: no advice).
+    /// Returns the Retry-After of a rejected request (0: none).
     fn retry_after(&mut self, reason: DecisionReason, waited_long: bool) -> Micros {
         let longest = self.settings.max_retry_after;
         match reason {
-            // Not all of them at one time.
+            // Drawn, so that the clients do not all retry at the same time.
             DecisionReason::OriginOverload => {
                 longest - (longest as f64 * self.rng.next_unit() / 2.0) as Micros
             }
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -1,13 +1,13 @@
-//! The decisions of one node: the [`Balancer`] owns their state and dispatches each event to the module that
-//! decides.
+//! The [`Balancer`] owns the decision state of one node and dispatches each event to the module that handles
+//! it.
 //!
-//! Guarantees: the same settings, seed and events at the same times give the same actions. No I/O and no
-//! clock.
+//! Guarantees: the same settings, seed and events at the same times produce the same actions. The code does
+//! no I/O and reads no clock.
 //!
-//! `partition` and `hot_keys` place keys, `selection` chooses servers,
-//! `retry` sends attempts, `admission` rejects, `in_flight` holds requests and
-//! what the rules allow for them; health of servers, zones and origin, slow start, quotas and membership
-//! stand beside these.
+//! `partition` and `hot_keys` assign keys to servers, `selection` chooses the server of an attempt, `retry`
+//! sends attempts, `admission` rejects requests, and `in_flight` stores the requests in flight and checks
+//! what the rules allow for them. Further modules track the health of servers, zones and the origin, slow
+//! start, tenant quotas and membership.
 
 use crate::api::{
     Actions, AttemptOutcome, CacheMode, Event, InvalidSettings, Micros, Request, Settings, Status,
@@ -30,19 +30,20 @@
 use crate::timer_token::TimerToken;
 use crate::zone_health::ZoneHealth;
 
-/// The decisions of one node.
+/// The decision engine of one node.
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Rng,
-    /// The servers among which keys are partitioned, and those of other zones where these are kept apart.
+    /// The servers among which the key space is partitioned.
     pub(crate) partition: Partition,
+    /// The servers of other zones, if zones are separated; empty otherwise.
     pub(crate) other_zones: Partition,
-    /// Entries of the origin (cache-aside), by name.
+    /// Endpoints of the origin (cache-aside mode), sorted by name.
     pub(crate) origins: Vec<Server>,
-    /// Weights of the partition's servers, as of the last update of its bounds.
+    /// Range weights of the partition's servers, in partition order, as of the last update.
     pub(crate) weights: Vec<f64>,
-    pub(crate) list_polls: EndpointListPolls,
-    /// What an earlier process learned, until an endpoint list names the servers.
+    pub(crate) endpoint_list_polls: EndpointListPolls,
+    /// Checkpoint of the previous process, until a complete endpoint list names one of its servers.
     pub(crate) restored: Option<RestoredCheckpoint>,
     pub(crate) latencies: LatencyEstimates,
     pub(crate) averages: FailureAverages,
@@ -54,17 +55,17 @@
     pub(crate) in_flight: InFlightRequests,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) tenant_quotas: TenantQuotas,
-    /// Which decision gave the last final answer.
+    /// Why the last request that was rejected or failed was ended.
     pub(crate) last_reason: DecisionReason,
     pub(crate) log_lines: u32,
 }
 
 impl Balancer {
-    /// A node's decisions from its settings, its seed and its clock.
+    /// Creates the balancer of a node. `seed` seeds its random generator; `now` is the node's current time.
     ///
     /// # Errors
     ///
-    /// [`InvalidSettings`] where the rules cannot be kept under these settings.
+    /// Returns [`InvalidSettings`] if the rules cannot be kept under these settings.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Balancer, InvalidSettings> {
         settings.validate()?;
         let objectives = settings.classes.iter().map(|c| c.latency_objective);
@@ -74,7 +75,7 @@
             other_zones: Partition::default(),
             origins: Vec::new(),
             weights: Vec::new(),
-            list_polls: EndpointListPolls::default(),
+            endpoint_list_polls: EndpointListPolls::default(),
             restored: None,
             latencies: LatencyEstimates::new(objectives),
             averages: FailureAverages::default(),
@@ -92,11 +93,13 @@
         })
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Handles one event and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Actions) {
         match event {
-            Event::EndpointList(kind, entries) => self.on_list(now, kind, &entries, actions),
-            Event::EndpointListFailed => self.on_list_failed(actions),
+            Event::EndpointList(kind, entries) => {
+                self.on_endpoint_list(now, kind, &entries, actions);
+            }
+            Event::EndpointListFailed => self.on_endpoint_list_failed(actions),
             Event::Request(request) => self.on_request(now, request, actions),
             Event::ResponseStarted { request, .. } => {
                 if let Some(request) = self.in_flight.by_id(&request) {
@@ -144,18 +147,18 @@
             likely_uncached,
             missed: false,
         });
-        if let Some(reason) = self.rejection(now, serial, over_quota) {
+        if let Some(reason) = self.rejection_reason(now, serial, over_quota) {
             return self.finish(now, serial, reason, actions);
         }
         actions.push(TimerToken::Deadline(serial).after(useful_until - now));
         self.send_next(now, serial, actions);
     }
 
-    /// Until when an answer to a request is useful, with a margin for the way to the client.
+    /// Returns the time until which a response is useful, less a margin of two ticks for its delivery.
     fn useful_until(&self, now: Micros, request: &Request) -> Micros {
         let class = &self.settings.classes[request.class];
-        let own_work = class.objective_per_work * request.work.unwrap_or(0.0);
-        let latency_objective = (class.latency_objective as f64 + own_work) as Micros;
+        let work_allowance = class.objective_per_work * request.work.unwrap_or(0.0);
+        let latency_objective = (class.latency_objective as f64 + work_allowance) as Micros;
         let useful = if class.late_weight > 0.0 {
             request.budget
         } else {
@@ -164,8 +167,8 @@
         now + useful - 2 * self.settings.tick
     }
 
-    /// Whether a request likely needs the origin. Where servers answer misses, only what goes to the origin
-    /// does.
+    /// Returns whether a request likely needs the origin. In cache-aside mode the cache servers answer
+    /// misses, so only writes, which go straight to the origin, do.
     fn is_likely_uncached(&self, request: &Request, key: Option<u64>) -> bool {
         match self.settings.mode {
             CacheMode::CacheAside => request.write,
@@ -197,7 +200,7 @@
         }
     }
 
-    /// A cache lacked the key (cache-aside): whether the request may go to the origin.
+    /// Marks a request as missed by the cache (cache-aside) and returns whether it may go to the origin.
     fn admit_fetch(&mut self, now: Micros, serial: u64) -> bool {
         if let Some(request) = self.in_flight.requests.get_mut(&serial) {
             request.missed = true;
@@ -206,7 +209,7 @@
         self.is_admitted(now, serial)
     }
 
-    /// Whether a request has neither an answer that is streamed nor a pending attempt.
+    /// Returns whether a request has neither a streamed response nor a pending attempt.
     pub(crate) fn is_idle(&self, serial: u64) -> bool {
         let request = self.in_flight.requests.get(&serial);
         request.is_some_and(|r| !r.streaming && r.pending_attempts() == 0)
@@ -221,7 +224,7 @@
                 }
             }
             TimerToken::Hedge(serial) => self.on_hedge_timer(now, serial, actions),
-            TimerToken::EndpointList => self.poll_list(actions),
+            TimerToken::EndpointList => self.poll_endpoint_list(actions),
             TimerToken::ZoneProbe(zone) => self.probe_zone(now, zone, actions),
         }
     }
--- a/crates/decision/src/in_flight.rs
+++ b/crates/decision/src/in_flight.rs
@@ -1,8 +1,8 @@
 //! Requests in flight, their attempts, and what the rules allow for them.
 //!
-//! Guarantees: an attempt is allowed, and an attempt that waited for its connection is written, only where
-//! the class permits it beside every other attempt that may have run; a request is rejected only where a
-//! retry is harmless; each request has exactly one final answer.
+//! Guarantees: an attempt is sent, and one that waited for its connection is written, only if the class of
+//! the request permits it in addition to every other attempt that may have run; a request is rejected only if
+//! a retry is harmless; each request gets exactly one final response.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -19,12 +19,13 @@
     pub(crate) zone: Option<u16>,
     pub(crate) cell: Option<u32>,
     pub(crate) sent: Micros,
-    /// How long an answer of its class may well take. Silent: it has passed without an answer.
+    /// Time since `sent` after which a pending attempt counts as silent.
     pub(crate) expected_latency: Micros,
+    /// Whether `expected_latency` has passed without a response.
     pub(crate) silent: bool,
-    /// Not cancelled when its request ends: a fetch that is dropped fills no cache.
+    /// Whether it may continue when its request ends: a fetch that is cancelled fills no cache.
     pub(crate) outlives_request: bool,
-    /// How it ended.
+    /// How it ended. None while it is pending.
     pub(crate) status: Option<Status>,
 }
 
@@ -38,23 +39,24 @@
     }
 }
 
-/// A request without its final answer yet.
+/// A request that has not had its final response yet.
 pub(crate) struct InFlightRequest {
     pub(crate) request: Request,
-    /// Position in the key space, from 0 to 1.
+    /// Position in the key space, from 0 to 1: from the hash of the key, or drawn if it has none.
     pub(crate) position: f64,
     /// Hash of the key.
     pub(crate) key: Option<u64>,
     pub(crate) arrived: Micros,
-    /// No answer is useful after this: the request is ended then.
+    /// Time after which no response is useful: the request is ended then.
     pub(crate) useful_until: Micros,
     pub(crate) attempts: Vec<Attempt>,
+    /// A streamed response has begun.
     pub(crate) streaming: bool,
-    /// Nothing more is sent: its client seems to be disconnected, or the node is about to end.
+    /// No further attempt is sent: the client seems to be disconnected, or the node is about to stop.
     pub(crate) attempts_stopped: bool,
-    /// Not served recently by what this node knows: likely a fetch from the origin.
+    /// This node has not seen the key served recently: likely needs a fetch from the origin.
     pub(crate) likely_uncached: bool,
-    /// The cache lacked it (cache-aside): the origin is next.
+    /// The cache server answered a miss (cache-aside): the next attempt goes to the origin.
     pub(crate) missed: bool,
 }
 
@@ -71,17 +73,17 @@
         }
     }
 
-    /// Whether another attempt may go to this server now. Guards "no effect twice" for all classes.
+    /// Whether another attempt may go to this server now. Guards all classes against duplicate effects.
     pub(crate) fn may_send(&self, settings: &Settings, to: &Endpoint, now: Micros) -> bool {
-        let hedges = self.pending_attempts() > 0;
-        if self.attempts.len() >= settings.max_attempts || (hedges && !settings.hedging) {
+        let would_hedge = self.pending_attempts() > 0;
+        if self.attempts.len() >= settings.max_attempts || (would_hedge && !settings.hedging) {
             return false;
         }
         self.may_write(settings, to, now, self.attempts.len())
     }
 
-    /// Whether this attempt may be written to its server now, whatever held when it was chosen: one that has
-    /// waited for its connection is written late, when the others may have run.
+    /// Whether this attempt may be written to its server now. One that waited for its connection is checked
+    /// again, since other attempts may have run in the meantime.
     fn may_write(&self, settings: &Settings, to: &Endpoint, now: Micros, attempt: usize) -> bool {
         let class = &settings.classes[self.request.class];
         if self.streaming || self.attempts_stopped || now >= self.useful_until {
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Whether it may be rejected, which says to the client that a retry is harmless.
+    /// Whether it may be rejected, which tells the client that a retry is harmless.
     pub(crate) fn may_reject(&self, settings: &Settings) -> bool {
         let class = &settings.classes[self.request.class];
         match class.idempotency {
@@ -118,7 +120,7 @@
     }
 }
 
-/// The requests in flight, by serial number in the order of their arrival.
+/// The requests in flight, by serial number, which follows the order of arrival.
 #[derive(Default)]
 pub(crate) struct InFlightRequests {
     pub(crate) requests: BTreeMap<u64, InFlightRequest>,
@@ -151,9 +153,9 @@
 }
 
 impl Balancer {
-    /// Whether an attempt that has waited for its connection is to be written now. What held when it was
-    /// chosen may not hold any more: the request may have its answer, its server be draining, removed or
-    /// restarted, the group that deduplicates its retries have forgotten it.
+    /// Returns whether an attempt that waited for its connection is to be written now. Meanwhile the request
+    /// may have got its response, the server may be draining, removed or restarted, or the servers that
+    /// deduplicate the request's retries may have forgotten it.
     pub fn may_start_attempt(&self, now: Micros, request: &RequestId, attempt: usize) -> bool {
         let serial = self.in_flight.serial(request);
         let Some(request) = serial.and_then(|serial| self.in_flight.requests.get(&serial)) else {
@@ -169,8 +171,8 @@
         })
     }
 
-    /// A request is no longer in flight: its pending attempts are cancelled, if that is allowed; not those
-    /// that outlive it, if so wished.
+    /// Removes a request and cancels its pending attempts, if that is allowed; if `keep_outliving`, all but
+    /// those that outlive the request.
     pub(crate) fn end_request(&mut self, serial: u64, keep_outliving: bool, actions: &mut Actions) {
         let Some(request) = self.in_flight.remove(serial) else {
             return;
--- a/crates/decision/src/membership.rs
+++ b/crates/decision/src/membership.rs
@@ -1,8 +1,8 @@
-//! Membership: which servers there are, by the endpoint list that discovery gives, and in which zones they
-//! stand.
+//! Membership: applies the endpoint lists from discovery, and separates the servers of this node's zone from
+//! those of other zones where crossing zones is expensive.
 //!
-//! Guarantees: a server that a full list does not name gets nothing new; where zones are kept apart, the key
-//! space is partitioned among the servers of this node's zone alone.
+//! Guarantees: a server that a full list does not name gets no new attempts; where zones are separated, the
+//! key space is partitioned among the servers of this node's zone only.
 
 use std::collections::{BTreeSet, HashSet};
 
@@ -12,28 +12,30 @@
 use crate::server_health::Server;
 use crate::timer_token::TimerToken;
 
-/// A zone has a partition of its own if it costs more than this to cross zones for every request that has its
-/// home elsewhere.
+/// Zones are separated if it would cost more than this to cross zones for every request whose home is in
+/// another zone (as a fraction of the service, like `price_cross_zone`).
 const MAX_CROSSING_COST: f64 = 0.05;
-/// And only if it has this many servers: one alone would leave its keys without a secondary.
+/// Fewest servers in this node's zone for separation: a single one would leave its keys without a secondary.
 const MIN_ZONE_SERVERS: usize = 2;
-/// The spread of polls after a first failure, as a fraction of the longest; it doubles with each further one.
-const FIRST_RETRY_FRACTION: f64 = 1.0 / 16.0;
+/// Longest delay of the poll after n failures in a row, as a fraction of the longest delay of any poll: this
+/// times 2^n, for n up to `MAX_RETRY_DOUBLINGS`.
+const RETRY_DELAY_FRACTION: f64 = 1.0 / 16.0;
 const MAX_RETRY_DOUBLINGS: u32 = 4;
-/// Least fraction of the spread after which a poll comes.
-const MIN_SPREAD_FRACTION: f64 = 0.05;
+/// Shortest delay of a poll, as a fraction of its longest; the delay is drawn from between them.
+const MIN_DELAY_FRACTION: f64 = 0.05;
 
-/// When the endpoint list is polled next, where it does not arrive by itself.
+/// State of the polls of the endpoint list, for sites whose discovery does not push it.
 #[derive(Default)]
 pub(crate) struct EndpointListPolls {
-    /// Polls in a row that failed.
+    /// Failed polls in a row.
     failures: u32,
+    /// Whether a timer for the next poll is running.
     timer_set: bool,
 }
 
 impl Balancer {
-    /// An endpoint list arrived.
-    pub(crate) fn on_list(
+    /// Applies an endpoint list.
+    pub(crate) fn on_endpoint_list(
         &mut self,
         now: Micros,
         kind: EndpointListKind,
@@ -56,12 +58,15 @@
             }
         }
         match kind {
-            EndpointListKind::Cached if self.settings.poll => self.schedule_list_poll(actions),
-            _ => self.list_polls.failures = 0,
+            EndpointListKind::Cached if self.settings.poll => {
+                self.schedule_endpoint_list_poll(actions);
+            }
+            _ => self.endpoint_list_polls.failures = 0,
         }
-        self.send_waiting(now, actions);
+        self.send_first_attempts(now, actions);
     }
 
+    /// Removes the servers and origin endpoints that a complete list does not name.
     fn remove_unlisted(&mut self, entries: &[Endpoint]) {
         let listed: HashSet<&str> = entries.iter().map(|e| &*e.server).collect();
         for partition in [&mut self.partition, &mut self.other_zones] {
@@ -74,7 +79,7 @@
         self.origins.retain(|s| listed.contains(&*s.entry.server));
     }
 
-    /// Brings what goes by a server's name or zone in line with the servers that are listed now.
+    /// Updates what is indexed by the name or the zone of a server to the servers that are listed now.
     fn reindex(&mut self) {
         self.partition.reindex();
         self.other_zones.reindex();
@@ -85,8 +90,8 @@
         self.zone_health.set_listed(listed.map(|s| s.entry.zone));
     }
 
-    /// Requests that no server could be found for may have one now.
-    fn send_waiting(&mut self, now: Micros, actions: &mut Actions) {
+    /// Sends first attempts for the requests that found no server before.
+    fn send_first_attempts(&mut self, now: Micros, actions: &mut Actions) {
         let requests = self.in_flight.requests.iter();
         let waiting: Vec<u64> = requests
             .filter(|(_, request)| request.attempts.is_empty())
@@ -97,7 +102,7 @@
         }
     }
 
-    /// One entry of a list. True: the partition's servers changed.
+    /// Applies one entry of a list. Returns true if the set of servers in the partition changed.
     fn update_endpoint(&mut self, entry: &Endpoint) -> bool {
         let live = entry.state == ServerState::Live;
         if self.is_origin(entry) {
@@ -156,7 +161,7 @@
         }
     }
 
-    /// Moves servers between the partition and the other zones. How many moved.
+    /// Moves servers between the partition and the other zones as needed. Returns how many moved.
     fn separate_zones(&mut self) -> usize {
         let listed = || {
             let servers = &self.partition.servers;
@@ -164,10 +169,10 @@
         };
         let own_zone = self.settings.zone;
         let zones: BTreeSet<_> = listed().map(|s| s.entry.zone).collect();
-        let elsewhere = 1.0 - 1.0 / zones.len().max(1) as f64;
+        let fraction_elsewhere = 1.0 - 1.0 / zones.len().max(1) as f64;
         let in_own_zone = listed().filter(|s| s.entry.zone == own_zone).count();
         let separate = own_zone.is_some()
-            && self.settings.price_cross_zone * elsewhere > MAX_CROSSING_COST
+            && self.settings.price_cross_zone * fraction_elsewhere > MAX_CROSSING_COST
             && in_own_zone >= MIN_ZONE_SERVERS;
         let belongs = |server: &Server| !separate || server.entry.zone == own_zone;
         let (partition, others) = (&mut self.partition, &mut self.other_zones);
@@ -175,37 +180,37 @@
             + move_servers(others, partition, belongs)
     }
 
-    /// A poll of the endpoint list failed, or the subscription dropped.
-    pub(crate) fn on_list_failed(&mut self, actions: &mut Actions) {
-        self.list_polls.failures += 1;
-        self.schedule_list_poll(actions);
+    /// Handles a failed poll of the endpoint list, or the end of the subscription.
+    pub(crate) fn on_endpoint_list_failed(&mut self, actions: &mut Actions) {
+        self.endpoint_list_polls.failures += 1;
+        self.schedule_endpoint_list_poll(actions);
     }
 
-    /// The time to poll the endpoint list has come.
-    pub(crate) fn poll_list(&mut self, actions: &mut Actions) {
-        self.list_polls.timer_set = false;
+    /// Polls the endpoint list when its timer has expired.
+    pub(crate) fn poll_endpoint_list(&mut self, actions: &mut Actions) {
+        self.endpoint_list_polls.timer_set = false;
         actions.push(Action::Subscribe(true));
     }
 
-    fn schedule_list_poll(&mut self, actions: &mut Actions) {
-        if !self.settings.poll || self.list_polls.timer_set {
+    fn schedule_endpoint_list_poll(&mut self, actions: &mut Actions) {
+        if !self.settings.poll || self.endpoint_list_polls.timer_set {
             return;
         }
-        self.list_polls.timer_set = true;
-        let failures = self.list_polls.failures;
-        let longest = self.settings.poll_within as f64 / 2.0;
+        self.endpoint_list_polls.timer_set = true;
+        let failures = self.endpoint_list_polls.failures;
+        let max_delay = self.settings.poll_within as f64 / 2.0;
         let doublings = failures.min(MAX_RETRY_DOUBLINGS) as i32;
-        let spread = if failures == 0 {
-            longest
+        let delay = if failures == 0 {
+            max_delay
         } else {
-            (longest * FIRST_RETRY_FRACTION * 2f64.powi(doublings)).min(longest)
+            (max_delay * RETRY_DELAY_FRACTION * 2f64.powi(doublings)).min(max_delay)
         };
-        let drawn = MIN_SPREAD_FRACTION + (1.0 - MIN_SPREAD_FRACTION) * self.rng.next_unit();
-        actions.push(TimerToken::EndpointList.after((spread * drawn) as Micros));
+        let drawn = MIN_DELAY_FRACTION + (1.0 - MIN_DELAY_FRACTION) * self.rng.next_unit();
+        actions.push(TimerToken::EndpointList.after((delay * drawn) as Micros));
     }
 }
 
-/// Moves the servers that are to be moved, without what was learned of them. How many.
+/// Moves the servers that `is_moved` selects, without their learned state. Returns how many moved.
 fn move_servers(
     from: &mut Partition,
     to: &mut Partition,
--- a/crates/decision/src/membership_tests.rs
+++ b/crates/decision/src/membership_tests.rs
@@ -2,15 +2,15 @@
 use crate::test_support::node;
 
 #[test]
-fn zone_has_a_partition_of_its_own_only_where_crossing_is_expensive() {
-    let zones = |node: &Balancer| {
+fn zones_are_separated_only_if_crossing_is_expensive_and_own_zone_has_two_servers() {
+    let servers_of_other_zone = |node: &Balancer| {
         node.partition
             .servers
             .iter()
             .filter(|s| s.entry.zone == Some(1))
             .count()
     };
-    assert_eq!(zones(&node(0.2, 8)), 0);
-    assert_eq!(zones(&node(0.01, 8)), 4);
-    assert_eq!(zones(&node(0.2, 2)), 1);
+    assert_eq!(servers_of_other_zone(&node(0.2, 8)), 0);
+    assert_eq!(servers_of_other_zone(&node(0.01, 8)), 4);
+    assert_eq!(servers_of_other_zone(&node(0.2, 2)), 1);
 }
--- a/crates/decision/src/partition_tests.rs
+++ b/crates/decision/src/partition_tests.rs
@@ -4,6 +4,7 @@
 use crate::rng::Rng;
 use crate::test_support::{entry, kind, node};
 
+/// A partition of `n` servers with equal ranges.
 fn partition(n: usize) -> Partition {
     let mut partition = Partition::default();
     for i in 0..n {
@@ -16,64 +17,64 @@
 
 #[test]
 fn bounds_fall_at_midpoints_of_neighbouring_positions() {
-    let points = [0.1, 0.2, 0.4, 0.6, 0.7, 0.9];
-    let cuts = equal_counts(&points, 0.0, &[1.0, 1.0, 1.0]);
-    assert_eq!(cuts.len(), 3);
+    let positions = [0.1, 0.2, 0.4, 0.6, 0.7, 0.9];
+    let bounds = equal_count_bounds(&positions, 0.0, &[1.0, 1.0, 1.0]);
+    assert_eq!(bounds.len(), 3);
     assert!(
-        (cuts[0] - 0.3).abs() < 1e-9 && (cuts[1] - 0.65).abs() < 1e-9 && cuts[2] == 1.0,
-        "{cuts:?}"
+        (bounds[0] - 0.3).abs() < 1e-9 && (bounds[1] - 0.65).abs() < 1e-9 && bounds[2] == 1.0,
+        "{bounds:?}"
     );
 }
 
 #[test]
 fn counts_of_ranges_follow_weights() {
-    let points = [0.1, 0.2, 0.4, 0.6, 0.7, 0.9];
-    let cuts = equal_counts(&points, 0.0, &[1.0, 2.0, 3.0]);
+    let positions = [0.1, 0.2, 0.4, 0.6, 0.7, 0.9];
+    let bounds = equal_count_bounds(&positions, 0.0, &[1.0, 2.0, 3.0]);
     assert!(
-        (cuts[0] - 0.15).abs() < 1e-9 && (cuts[1] - 0.5).abs() < 1e-9,
-        "{cuts:?}"
+        (bounds[0] - 0.15).abs() < 1e-9 && (bounds[1] - 0.5).abs() < 1e-9,
+        "{bounds:?}"
     );
 }
 
 #[test]
 fn empty_window_gives_even_ranges() {
-    let cuts = equal_counts(&[], 64.0, &[1.0; 4]);
-    for (cut, want) in cuts.iter().zip([0.25, 0.5, 0.75, 1.0]) {
-        assert!((cut - want).abs() < 1e-9);
+    let bounds = equal_count_bounds(&[], 64.0, &[1.0; 4]);
+    for (bound, want) in bounds.iter().zip([0.25, 0.5, 0.75, 1.0]) {
+        assert!((bound - want).abs() < 1e-9);
     }
 }
 
 #[test]
-fn positions_are_weighed_against_the_even_mass() {
-    // 4 positions low in the key space, 4 even: half of all lies below x where 4 x + 4 = 4.
-    let cuts = equal_counts(&[0.01, 0.02, 0.03, 0.04], 4.0, &[1.0, 1.0]);
-    assert!(cuts[0] > 0.0 && cuts[0] < 0.2, "{cuts:?}");
+fn arrivals_are_weighed_against_the_uniform_mass() {
+    // 4 positions at the low end, uniform mass of 4: half of the total lies below x where 4 x + 4 = 4.
+    let bounds = equal_count_bounds(&[0.01, 0.02, 0.03, 0.04], 4.0, &[1.0, 1.0]);
+    assert!(bounds[0] > 0.0 && bounds[0] < 0.2, "{bounds:?}");
 }
 
 #[test]
-fn position_with_many_arrivals_fills_ranges_of_its_own() {
-    let cuts = equal_counts(&[0.2, 0.5, 0.5, 0.5, 0.5, 0.8], 0.0, &[1.0; 6]);
-    assert_eq!(&cuts[1..4], &[0.5, 0.5, 0.5]);
+fn position_with_many_arrivals_fills_several_ranges() {
+    let bounds = equal_count_bounds(&[0.2, 0.5, 0.5, 0.5, 0.5, 0.8], 0.0, &[1.0; 6]);
+    assert_eq!(&bounds[1..4], &[0.5, 0.5, 0.5]);
 }
 
 #[test]
-fn blending_moves_bounds_by_a_fraction_of_the_way() {
+fn blending_moves_bounds_by_a_fraction_of_the_distance() {
     let mut partition = partition(2);
     for _ in 0..16 {
         partition.record_arrival(0.1, None);
     }
-    let cut = partition.current_bounds(&[1.0, 1.0])[0];
+    let bound = partition.current_bounds(&[1.0, 1.0])[0];
     partition.blend_bounds(&[1.0, 1.0], 0.25);
-    assert!((partition.servers[0].upper_bound - (0.75 * 0.5 + 0.25 * cut)).abs() < 1e-9);
+    assert!((partition.servers[0].upper_bound - (0.75 * 0.5 + 0.25 * bound)).abs() < 1e-9);
 }
 
 #[test]
 fn range_of_a_removed_server_goes_to_its_neighbours_and_others_keep_theirs() {
     let mut partition = partition(5);
     partition.leave(2);
-    let edges: Vec<f64> = partition.servers.iter().map(|s| s.upper_bound).collect();
-    for (edge, want) in edges.iter().zip([0.2, 0.5, 0.8, 1.0]) {
-        assert!((edge - want).abs() < 1e-9, "{edges:?}");
+    let bounds: Vec<f64> = partition.servers.iter().map(|s| s.upper_bound).collect();
+    for (bound, want) in bounds.iter().zip([0.2, 0.5, 0.8, 1.0]) {
+        assert!((bound - want).abs() < 1e-9, "{bounds:?}");
     }
 }
 
@@ -92,7 +93,7 @@
         .filter(|s| {
             before
                 .iter()
-                .any(|(id, e)| *id == s.entry.server && (e - s.upper_bound).abs() > 1e-9)
+                .any(|(id, bound)| *id == s.entry.server && (bound - s.upper_bound).abs() > 1e-9)
         })
         .count();
     assert!(moved <= 1);
@@ -111,8 +112,9 @@
         a.join(Server::new(entry(&format!("s{i}"))));
         b.join(Server::new(entry(&format!("s{}", 19 - i))));
     }
-    let ids = |l: &Partition| {
-        l.servers
+    let ids = |partition: &Partition| {
+        partition
+            .servers
             .iter()
             .map(|s| s.entry.server.clone())
             .collect::<Vec<_>>()
@@ -121,7 +123,7 @@
 }
 
 #[test]
-fn key_with_more_than_a_range_of_requests_is_spread() {
+fn key_with_more_requests_than_a_range_is_spread_over_several_servers() {
     let mut partition = partition(10);
     let mut rng = Rng(1);
     for i in 0..400 {
@@ -141,7 +143,7 @@
 }
 
 #[test]
-fn quiet_nodes_agree_on_most_home_servers() {
+fn nodes_with_few_arrivals_agree_on_most_home_servers() {
     let (mut a, mut b) = (partition(40), partition(40));
     let mut rng = Rng(5);
     for _ in 0..200 {
@@ -157,8 +159,8 @@
 }
 
 #[test]
-fn nodes_with_other_learned_speeds_agree_on_most_home_servers() {
-    let servers = |node: &mut Balancer| {
+fn nodes_with_different_learned_speeds_agree_on_most_home_servers() {
+    let list_servers = |node: &mut Balancer| {
         let list = (0..80)
             .map(|i| Endpoint {
                 kind: Some(i % 2),
@@ -172,16 +174,16 @@
         );
     };
     let (mut a, mut b) = (node(0.0, 0), node(0.0, 0));
-    servers(&mut a);
+    list_servers(&mut a);
     b.latencies.kinds = [0.0, -0.125, 0.125]
         .map(|log| kind(log * 1e6, if log == 0.0 { 0.0 } else { 1e6 }))
         .to_vec();
-    servers(&mut b);
+    list_servers(&mut b);
     b.update_weights();
     b.partition.blend_bounds(&b.weights.clone(), 1.0);
-    let at = |i: usize| i as f64 / 4000.0;
+    let position = |i: usize| i as f64 / 4000.0;
     let same = (0..4000)
-        .filter(|i| a.partition.home(at(*i)) == b.partition.home(at(*i)))
+        .filter(|i| a.partition.home(position(*i)) == b.partition.home(position(*i)))
         .count();
     assert!(same > 3200, "{same} of 4000");
 }
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -1,7 +1,7 @@
 //! Retries and hedged requests: the retry budget, the hedging delay, and sending the next attempt.
 //!
-//! Guarantees: retries are at most a fraction of the requests (`TOKENS_PER_REQUEST`) and a bounded number
-//! besides, and less where they are not answered either, or where answers are late.
+//! Guarantees: the tokens spent on retries are at most a fraction of the requests (`TOKENS_PER_REQUEST`) plus
+//! a bounded number, and fewer while retries are not answered either or while responses are late.
 
 use crate::api::{Action, Actions, AttemptOutcome, Idempotency, Micros, RequestId, Status};
 use crate::balancer::Balancer;
@@ -11,25 +11,26 @@
 use crate::status::DecisionReason;
 use crate::timer_token::TimerToken;
 
-/// Tokens for each request, and most that are saved up.
+/// Tokens that each request adds, and the most that are saved up.
 const TOKENS_PER_REQUEST: f64 = 0.2;
 pub(crate) const MAX_TOKENS: f64 = 10.0;
-/// Fraction of retries answered in time from which requests add their whole tokens, below which they add the
-/// least, and the fraction of the tokens that this least is.
-const MAX_SUCCESS_FRACTION: f64 = 0.9;
-const MIN_SUCCESS_FRACTION: f64 = 0.5;
+/// Fraction of retries answered in time from which requests add all of their tokens, and below which they add
+/// only the fraction `MIN_REFILL_FRACTION` of them.
+const FULL_REFILL_SUCCESS_FRACTION: f64 = 0.9;
+const MIN_REFILL_SUCCESS_FRACTION: f64 = 0.5;
 const MIN_REFILL_FRACTION: f64 = 0.1;
-/// Tokens for a retry after an attempt whose connection broke or was not established: that says nothing of
-/// the load, and leaves the server less to do; after one that was rejected unseen; for a hedged request or
-/// after any other end.
+/// Tokens for a retry after an attempt whose connection broke or was not established: that is no evidence of
+/// load, and leaves the server less to do.
 const CONNECTION_FAILURE_COST: f64 = 0.25;
+/// Tokens for a retry after an attempt that was rejected or not sent.
 const NEVER_RAN_COST: f64 = 0.5;
+/// Tokens for a hedged request, or for a retry after any other outcome.
 const FULL_COST: f64 = 1.0;
 
-/// Tokens for retries and hedged requests, and how these fare.
+/// Tokens for retries and hedged requests, and the fraction of these that succeed.
 pub(crate) struct RetryBudget {
     pub(crate) tokens: f64,
-    /// Fraction of retries that were answered in time.
+    /// Moving average of the fraction of retries that were answered in time.
     pub(crate) success_fraction: f64,
 }
 
@@ -43,24 +44,25 @@
 }
 
 impl RetryBudget {
-    /// A request arrived. Where retries are not answered either, they only add to the load that is the
-    /// reason; a few go all the same, or it would never be noticed that they are answered again.
+    /// Adds the tokens of a request that arrived. If retries are not answered either, they only add to the
+    /// load that causes them; a few are sent nevertheless, or else the node would not notice that they are
+    /// answered again. `late_fraction`: recent fraction of requests that were answered late or not at all.
     pub(crate) fn refill(&mut self, late_fraction: f64) {
-        let success = (self.success_fraction - MIN_SUCCESS_FRACTION)
-            / (MAX_SUCCESS_FRACTION - MIN_SUCCESS_FRACTION);
+        let success = (self.success_fraction - MIN_REFILL_SUCCESS_FRACTION)
+            / (FULL_REFILL_SUCCESS_FRACTION - MIN_REFILL_SUCCESS_FRACTION);
         let fraction = success.clamp(MIN_REFILL_FRACTION, 1.0);
         let refill = TOKENS_PER_REQUEST * fraction * (1.0 - 2.0 * late_fraction).max(0.0);
         self.tokens = (self.tokens + refill).min(MAX_TOKENS);
     }
 
-    /// A retry ended, or its request did: answered in time, or not.
+    /// Records the end of a retry, or of its request: whether it was answered in time.
     pub(crate) fn record(&mut self, answered: bool) {
         let answered = f64::from(u8::from(answered));
         self.success_fraction += (answered - self.success_fraction) / AVERAGING_SPAN;
     }
 }
 
-/// Tokens that a retry costs after an attempt that ended so.
+/// Returns the tokens that a retry costs after an attempt with this status.
 fn retry_cost(status: Status, evidence: &AttemptEvidence) -> f64 {
     match status {
         Status::Miss => 0.0,
@@ -73,7 +75,7 @@
 }
 
 impl Balancer {
-    /// Counts the end of a retry or a hedged request.
+    /// Records the outcome of a retry or hedged request; a first attempt is ignored.
     pub(crate) fn record_retry(&mut self, now: Micros, serial: u64, outcome: &AttemptOutcome) {
         let conclusive = matches!(
             outcome.status,
@@ -87,7 +89,7 @@
             .record(outcome.status == Status::Ok && now < useful_until);
     }
 
-    /// An attempt ended without an answer and no other is pending: sends the next one, or ends the request.
+    /// Sends the next attempt, or ends the request, after its last pending attempt gave no final response.
     pub(crate) fn retry_or_finish(
         &mut self,
         now: Micros,
@@ -98,10 +100,10 @@
     ) {
         let status = outcome.status;
         let cost = retry_cost(status, evidence);
-        let may_be_origin = matches!(status, Status::Timeout | Status::Rejected | Status::Error)
+        let suspects_origin = matches!(status, Status::Timeout | Status::Rejected | Status::Error)
             && !evidence.quick_error;
-        // Where the origin is overloaded, a retry would be another fetch, or the same write once more.
-        if may_be_origin && self.origin_health.is_overloaded_for(now, evidence.kind) {
+        // While the origin is overloaded, a retry would cause another fetch, or repeat the write.
+        if suspects_origin && self.origin_health.is_overloaded_for(now, evidence.kind) {
             self.finish(now, serial, DecisionReason::OriginOverload, actions);
         } else if self.retry_budget.tokens < cost {
             self.finish(now, serial, DecisionReason::RetryBudget, actions);
@@ -112,20 +114,20 @@
         }
     }
 
-    /// The hedging delay of a request has passed: sends a second attempt where that is allowed and useful.
+    /// Records silent attempts when the hedging delay has passed, and hedges if allowed and useful.
     pub(crate) fn on_hedge_timer(&mut self, now: Micros, serial: u64, actions: &mut Actions) {
         self.record_silence(now, serial, actions);
         let request = self.in_flight.requests.get(&serial);
-        let waits_for_one =
+        let awaits_one_attempt =
             request.is_some_and(|r| !r.streaming && !r.missed && r.pending_attempts() == 1);
         let may_be_overloaded = self.origin_health.may_be_overloaded(now);
-        let hedges = self.settings.hedging && waits_for_one && !may_be_overloaded;
-        if hedges && self.retry_budget.tokens >= FULL_COST && self.send_next(now, serial, actions) {
+        let hedge = self.settings.hedging && awaits_one_attempt && !may_be_overloaded;
+        if hedge && self.retry_budget.tokens >= FULL_COST && self.send_next(now, serial, actions) {
             self.retry_budget.tokens -= FULL_COST;
         }
     }
 
-    /// Nothing more is sent for a request; with no pending attempt it has its final answer at once.
+    /// Sends no further attempt for a request; if none is pending, it gets its final response at once.
     pub(crate) fn stop_attempts(&mut self, now: Micros, id: &RequestId, actions: &mut Actions) {
         if let Some(request) = self.in_flight.by_id(id) {
             request.attempts_stopped = true;
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Sends the next attempt of a request if there is a server that it may go to.
+    /// Sends the next attempt of a request. Returns false if there is no server that it may go to.
     pub(crate) fn send_next(&mut self, now: Micros, serial: u64, actions: &mut Actions) -> bool {
         let request = &self.in_flight.requests[&serial];
         let Some(target) = self.select(now, request) else {
@@ -148,7 +150,7 @@
         }
         let remaining = request.useful_until - now;
         let hedging_delay = self.hedging_delay(request);
-        // Cancelled with its request, a fetch would be dropped, and no cache be filled during an overload.
+        // If fetches were cancelled with their requests, no cache would be filled during an overload.
         let outlives_request =
             !request.request.write && self.origin_health.is_overloaded_for(now, request.kind());
         let to_origin = matches!(target, Target::Origin(_));
@@ -174,15 +176,15 @@
         true
     }
 
-    /// How long an answer of a request's class may well take: after it a second attempt is useful.
+    /// Returns how long responses of a request's class usually take at most: after that, hedging is useful.
     fn hedging_delay(&self, request: &InFlightRequest) -> Micros {
         let class = &self.settings.classes[request.request.class];
         let quantile = self.latencies.high_quantile[request.request.class] as Micros;
         quantile.clamp(class.latency_objective / 8, class.latency_objective * 5 / 8)
     }
 
-    /// The time after which an attempt is given up: when its request ends, or for a probe so soon that a
-    /// retry is still useful.
+    /// Returns the timeout of an attempt: until its request ends, or half of that for a probe, so that a
+    /// retry is still useful. An attempt that outlives its request has until the client's deadline.
     fn attempt_timeout(&self, request: &InFlightRequest, attempt: &Attempt, to: Target) -> Micros {
         let class = &self.settings.classes[request.request.class];
         let may_retry = request.attempts.len() + 1 < self.settings.max_attempts
@@ -198,11 +200,12 @@
         timeout.max(self.settings.tick)
     }
 
-    /// Whether an attempt there is a probe of an ejected server.
+    /// Whether an attempt at this target is a probe of an ejected server.
     fn is_probe(&self, target: Target) -> bool {
         matches!(target, Target::Partition(_)) && self.target_server(target).is_ejected()
     }
 
+    /// Records an attempt that was sent, for its request, its hot key and its server.
     fn record_sent(&mut self, now: Micros, serial: u64, target: Target, attempt: Attempt) {
         let is_probe = self.is_probe(target);
         let Some(request) = self.in_flight.requests.get_mut(&serial) else {
--- a/crates/decision/src/retry_tests.rs
+++ b/crates/decision/src/retry_tests.rs
@@ -4,14 +4,14 @@
 use crate::outlier_detection::RequestKind;
 use crate::test_support::{end_attempt, node, send_request, set_failing_fraction};
 
-// Guards the seconds before an overload is certain: hedged requests were a fifth of what reached the origin
-// then.
+// Guards against hedging before an overload is certain: hedged requests were a fifth of those that reached
+// the origin then.
 #[test]
 fn no_hedged_request_while_the_origin_may_be_overloaded() {
-    for may in [false, true] {
+    for may_be_overloaded in [false, true] {
         let mut node = node(0.0, 8);
         node.settings.hedging = true;
-        if may {
+        if may_be_overloaded {
             (0..2).for_each(|_| {
                 node.origin_health
                     .record_attempt(0, RequestKind::Write, None, None);
@@ -19,7 +19,7 @@
         }
         assert!(
             !node.origin_health.is_overloaded_for(0, RequestKind::Write),
-            "two failures are none"
+            "two failures are no overload"
         );
         send_request(&mut node, 1000, 1).expect("sent");
         let mut actions = Vec::new();
@@ -30,13 +30,13 @@
         );
         assert_eq!(
             actions.iter().any(|a| matches!(a, Action::Send { .. })),
-            !may
+            !may_be_overloaded
         );
     }
 }
 
 #[test]
-fn no_fetch_is_retried_while_the_origin_is_overloaded_and_answered_fetches_end_that() {
+fn no_fetch_is_retried_while_the_origin_is_overloaded_and_answered_fetches_end_the_overload() {
     for overloaded in [false, true] {
         let mut node = node(0.0, 8);
         if overloaded {
@@ -70,8 +70,8 @@
 }
 
 #[test]
-fn quick_error_is_no_evidence_of_the_origin_and_its_retry_costs_little() {
-    for (latency, again) in [(2_000, true), (100_000, false)] {
+fn quick_error_is_not_attributed_to_the_origin_and_its_retry_costs_little() {
+    for (latency, is_quick) in [(2_000, true), (100_000, false)] {
         let mut node = node(0.0, 8);
         set_failing_fraction(&mut node, 0.5);
         node.retry_budget.tokens = 0.2;
@@ -91,12 +91,12 @@
         node.handle(latency, event, &mut actions);
         assert_eq!(
             actions.iter().any(|a| matches!(a, Action::Send { .. })),
-            again,
+            is_quick,
             "after {latency} us"
         );
         assert_eq!(
             node.origin_health.admitted_fraction >= 1.0,
-            again,
+            is_quick,
             "{} after {latency} us",
             node.origin_health.admitted_fraction
         );
@@ -113,9 +113,9 @@
         node.end_request(node.in_flight.next_serial - 1, false, &mut Vec::new());
         refill
     };
-    let whole = refill(&mut node);
+    let full = refill(&mut node);
     for n in 0..200 {
-        // Served recently: what fails is no fetch, which would not be retried.
+        // Served recently, so that the failures are not those of fetches, which would not be retried.
         node.recently_served
             .served_at
             .insert(hash(&format!("k{n}")), 1000);
@@ -127,7 +127,7 @@
             .requests
             .values()
             .last()
-            .map(|h| h.attempts[1].server.clone())
+            .map(|request| request.attempts[1].server.clone())
             .expect("sent again");
         let event = Event::AttemptEnded(AttemptOutcome {
             request: format!("r{n}").into(),
@@ -143,11 +143,11 @@
         node.averages.late = 0.0;
         if n == 99 {
             let least = refill(&mut node);
-            assert!(least > 0.0 && least < whole / 5.0, "{least} of {whole}");
+            assert!(least > 0.0 && least < full / 5.0, "{least} of {full}");
         }
     }
-    let back = refill(&mut node);
-    assert!(back > whole / 2.0, "{back} of {whole}");
+    let restored = refill(&mut node);
+    assert!(restored > full / 2.0, "{restored} of {full}");
 }
 
 #[test]
@@ -156,8 +156,8 @@
     (node.averages.late, node.retry_budget.tokens) = (0.5, 0.0);
     for n in 0..50 {
         if let Some(server) = send_request(&mut node, 1000, n) {
-            let again = end_attempt(&mut node, 1000, n, &server, Status::Rejected);
-            assert!(!again.iter().any(|a| matches!(a, Action::Send { .. })));
+            let actions = end_attempt(&mut node, 1000, n, &server, Status::Rejected);
+            assert!(!actions.iter().any(|a| matches!(a, Action::Send { .. })));
         }
     }
 }
@@ -166,13 +166,13 @@
 fn retry_waits_for_the_first_attempt_where_hedging_is_not_allowed() {
     let mut node = node(0.0, 8);
     send_request(&mut node, 1000, 1);
-    let held = node.in_flight.requests.values().next().unwrap();
+    let request = node.in_flight.requests.values().next().unwrap();
     let to = &node.partition.servers[0].entry;
-    assert_eq!(held.pending_attempts(), 1);
-    assert!(!held.may_send(&node.settings, to, 1000));
-    let copies = Settings {
+    assert_eq!(request.pending_attempts(), 1);
+    assert!(!request.may_send(&node.settings, to, 1000));
+    let hedging_settings = Settings {
         hedging: true,
         ..node.settings.clone()
     };
-    assert!(held.may_send(&copies, to, 1000));
+    assert!(request.may_send(&hedging_settings, to, 1000));
 }
--- a/crates/decision/src/selection.rs
+++ b/crates/decision/src/selection.rs
@@ -1,5 +1,5 @@
-//! Selection of the server for an attempt: the home server of the key's position, its secondary by rendezvous
-//! hashing where the home can't take it, a server of another zone only where none is left in this one.
+//! Selects the server for an attempt: the home server of the request's position; if the home can't take the
+//! request, its secondary by rendezvous hashing; a server of another zone only if none is left in this zone.
 
 use crate::api::{CacheMode, Endpoint, Micros};
 use crate::balancer::Balancer;
@@ -8,17 +8,17 @@
 use crate::outlier_detection::{rendezvous, PROBE_FRACTION};
 use crate::server_health::Server;
 
-/// A home server is busy if it has more attempts in flight than this multiple of an average server's.
+/// A home server is busy if its pending attempts exceed this multiple of the requests per server, plus one.
 const BUSY_MULTIPLE: f64 = 2.0;
 
-/// A selected server, by its place in one of the balancer's lists.
+/// A selected server, as an index into one of the balancer's lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Target {
-    /// A server among which the key space is partitioned.
+    /// A server of `Balancer::partition`.
     Partition(usize),
-    /// A server of another zone.
+    /// A server of `Balancer::other_zones`.
     OtherZones(usize),
-    /// An entry of the origin.
+    /// An endpoint of the origin, in `Balancer::origins`.
     Origin(usize),
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The server for the next attempt of a request.
+    /// Selects the server for the next attempt of a request. None if there is none.
     pub(crate) fn select(&self, now: Micros, request: &InFlightRequest) -> Option<Target> {
         let cache_aside = self.settings.mode == CacheMode::CacheAside;
         if cache_aside && (request.request.write || request.missed) {
@@ -53,20 +53,20 @@
         index.checked_rem(entries).map(Target::Origin)
     }
 
-    /// For a first attempt: the home server, unless it can't take this request and another one can.
+    /// Selects for a first attempt: the home server, unless it can't take the request and another one can.
     fn select_first(&self, now: Micros, request: &InFlightRequest, home: usize) -> usize {
         let within_range =
             || self.is_within_range(now, request, home, self.usable_fraction(now, home));
-        self.among_spread(now, request, home)
-            .or_else(|| self.outlier_relief(now, request, home))
-            .or_else(|| self.busy_relief(now, request, home))
+        self.hot_key_server(now, request, home)
+            .or_else(|| self.avoid_ejected(now, request, home))
+            .or_else(|| self.avoid_busy(now, request, home))
             .or_else(|| within_range().then_some(home))
             .or_else(|| self.secondary(now, request, |i| self.usable_fraction(now, i) >= 1.0))
             .unwrap_or(home)
     }
 
-    /// The next in rotation of the servers around the home over which a hot key is spread.
-    fn among_spread(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<usize> {
+    /// For a hot key: the next server, in rotation, of those around the home that can take the request.
+    fn hot_key_server(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<usize> {
         let servers = self.partition.servers.len();
         let hot_keys = &self.partition.hot_keys;
         let key = request.key?;
@@ -83,9 +83,9 @@
             })
     }
 
-    /// Where the home is ejected: the home for what it retains and for probes, else the secondary.
-    fn outlier_relief(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<usize> {
-        let retained = self.retained(home);
+    /// If the home is ejected as an outlier: the home for retained keys and for probes, else the secondary.
+    fn avoid_ejected(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<usize> {
+        let retained = self.retained_key_fraction(home);
         if retained >= 1.0 {
             return None;
         }
@@ -96,34 +96,34 @@
         if ready && (distance < retained || drawn < PROBE_FRACTION) {
             return Some(home);
         }
-        self.secondary(now, request, |i| self.is_sound(now, i))
+        self.secondary(now, request, |i| self.is_healthy(now, i))
     }
 
-    /// Where the home has far more attempts than others: a less busy secondary, for keys likely cached.
-    fn busy_relief(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<usize> {
+    /// If the home is busy and the key likely cached: a secondary with less than half of its attempts.
+    fn avoid_busy(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<usize> {
         let servers = &self.partition.servers;
         let pending = servers[home].pending_attempts;
         let average = self.in_flight.requests.len() as f64 / servers.len() as f64;
         if request.likely_uncached || f64::from(pending) <= 1.0 + BUSY_MULTIPLE * average {
             return None;
         }
-        self.secondary(now, request, |i| self.is_sound(now, i))
+        self.secondary(now, request, |i| self.is_healthy(now, i))
             .filter(|i| servers[*i].pending_attempts * 2 < pending)
     }
 
-    /// For a further attempt: the secondary, else a server that is not sound or in another zone, else the
-    /// home.
+    /// Selects for a further attempt: the secondary among healthy servers, else among all, else a server of
+    /// another zone, else the home if it is warm.
     fn select_next(&self, now: Micros, request: &InFlightRequest, home: usize) -> Option<Target> {
         let home_is_warm = || self.warm_range_fraction(now, &self.partition.servers[home]) >= 1.0;
-        self.secondary(now, request, |i| self.is_sound(now, i))
+        self.secondary(now, request, |i| self.is_healthy(now, i))
             .or_else(|| self.secondary(now, request, |_| true))
             .map(Target::Partition)
             .or_else(|| self.select_other_zone(now, request))
             .or_else(|| home_is_warm().then_some(Target::Partition(home)))
     }
 
-    /// A key's secondary: a warm server that is suitable and has had no attempt yet. Nodes differ in it only
-    /// as far as they differ in weights and in which servers they take for suitable.
+    /// Returns a request's secondary: of the warm and suitable servers that it may still go to, the one with
+    /// the highest rendezvous score. Nodes with equal weights and equal suitable servers agree on it.
     fn secondary(
         &self,
         now: Micros,
@@ -134,7 +134,7 @@
         let is_candidate = |i: &usize| {
             suitable(*i)
                 && self.warm_range_fraction(now, &servers[*i]) >= 1.0
-                && self.may_try(now, request, &servers[*i].entry)
+                && self.may_attempt(now, request, &servers[*i].entry)
         };
         let score = |i: &usize| {
             let server = &servers[*i];
@@ -147,7 +147,7 @@
             .max_by(|a, b| score(a).total_cmp(&score(b)))
     }
 
-    /// A warm server of another zone, by the request's position.
+    /// Returns a warm server of another zone; the request's position determines where the search starts.
     fn select_other_zone(&self, now: Micros, request: &InFlightRequest) -> Option<Target> {
         let servers = &self.other_zones.servers;
         let start = (request.position * servers.len() as f64) as usize;
@@ -158,40 +158,41 @@
                 now >= server.ejected_until
                     && self.warm_range_fraction(now, server) >= 1.0
                     && !self.zone_health.is_lost(server.entry.zone)
-                    && self.may_try(now, request, &server.entry)
+                    && self.may_attempt(now, request, &server.entry)
             })
             .map(Target::OtherZones)
     }
 
-    /// Whether the rules allow an attempt at a server, and there was none yet.
-    fn may_try(&self, now: Micros, request: &InFlightRequest, entry: &Endpoint) -> bool {
+    /// Whether the rules allow an attempt at a server, and the request has had none there yet.
+    fn may_attempt(&self, now: Micros, request: &InFlightRequest, entry: &Endpoint) -> bool {
         let tried = request.attempts.iter().any(|a| a.server == entry.server);
         !tried && request.may_send(&self.settings, entry, now)
     }
 
-    /// Fraction of its keys that a server retains as far as it fails by itself.
-    fn retained(&self, index: usize) -> f64 {
+    /// Fraction of its keys that a server retains: below 1 if it is ejected as an outlier.
+    fn retained_key_fraction(&self, index: usize) -> f64 {
         let server = &self.partition.servers[index].entry.server;
         self.outliers.retained_fraction(server)
     }
 
-    /// Available, and no outlier.
-    fn is_sound(&self, now: Micros, index: usize) -> bool {
-        self.is_available(now, index) && self.retained(index) >= 1.0
+    /// Whether a server is available and not an ejected outlier.
+    fn is_healthy(&self, now: Micros, index: usize) -> bool {
+        self.is_available(now, index) && self.retained_key_fraction(index) >= 1.0
     }
 
-    /// Fraction of its range that a server can take now: less while it warms up, nothing while it is ejected.
+    /// Fraction of its range that a server can take now: reduced while it warms up, responds late or is an
+    /// outlier; 0 while it is unavailable.
     fn usable_fraction(&self, now: Micros, index: usize) -> f64 {
         let server = &self.partition.servers[index];
         if !self.is_available(now, index) {
             return 0.0;
         }
         let warm = self.warm_range_fraction(now, server);
-        warm * server.timely_range_fraction() * self.retained(index)
+        warm * server.timely_range_fraction() * self.retained_key_fraction(index)
     }
 
-    /// Whether a request lies in the fraction of its range that a server is given. Nodes agree on the middle
-    /// of the range.
+    /// Whether a request lies within a fraction of a server's range, which is measured from the middle, since
+    /// nodes agree on that. A server that warms up also has a quota of attempts.
     pub(crate) fn is_within_range(
         &self,
         now: Micros,
