--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -1,4 +1,4 @@
-//! The interface between a node and its decisions: settings, events, actions, identifiers.
+//! The interface between a node and its decision code: settings, events, actions, identifiers.
 //!
 //! All times are integer microseconds on the node's monotonic clock; nothing here does I/O.
 
@@ -7,11 +7,11 @@
 
 pub use crate::settings_validation::InvalidSettings;
 
-/// Microseconds: a point on the node's clock, or a span.
+/// Microseconds: a point in time on the node's clock, or a duration.
 pub type Micros = i64;
-/// A request as the node names it; ids are never reused.
+/// The node's id of a request; ids are never reused.
 pub type RequestId = Arc<str>;
-/// A server as the endpoint list names it; opaque, equal at all nodes.
+/// A server's id in the endpoint list; opaque, and the same at all nodes.
 pub type ServerId = Arc<str>;
 
 /// Which retries a class permits.
@@ -19,9 +19,9 @@
 pub enum Idempotency {
     /// Retries are harmless.
     Idempotent,
-    /// Servers of one group deduplicate retries by an idempotency key for a while.
+    /// The servers of a [`DeduplicationScope`] deduplicate retries by an idempotency key for a limited time.
     Keyed,
-    /// A second execution is a second effect.
+    /// A request that runs twice takes effect twice.
     NonIdempotent,
 }
 
@@ -30,100 +30,101 @@
 pub enum DeduplicationScope {
     /// All servers.
     All,
-    /// Those in the zone of the first server.
+    /// The servers in the same zone as the server of the first attempt.
     Zone,
-    /// Those in the cell of the first server.
+    /// The servers in the same cell as the server of the first attempt.
     Cell,
 }
 
 /// One class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Answers within this have the full priority weight.
+    /// Responses within this time of the request's arrival have the full priority weight.
     pub latency_objective: Micros,
-    /// The latency objective grows by this multiple of the request's own work (0: not at all).
+    /// This multiple of the request's expected work is added to the latency objective (0: nothing).
     pub objective_per_work: f64,
-    /// The client's whole wait, over all its retries.
+    /// How long the client waits in total, over all of its retries.
     pub deadline: Micros,
     /// Which retries are permitted.
     pub idempotency: Idempotency,
-    /// Which servers deduplicate (keyed classes).
+    /// Which servers deduplicate retries (keyed classes).
     pub deduplication_scope: DeduplicationScope,
-    /// How long they do, from the first attempt that may have run (keyed classes).
+    /// How long they deduplicate, from the first attempt that may have run (keyed classes).
     pub deduplication_window: Micros,
-    /// Weight of an answer in time.
+    /// Weight of a response within the latency objective.
     pub priority_weight: f64,
-    /// Fraction of the weight of an answer after the latency objective.
+    /// Weight of a response after the latency objective, as a fraction of `priority_weight`.
     pub late_weight: f64,
-    /// Whether answers are streamed.
+    /// Whether responses are streamed.
     pub stream: bool,
 }
 
-/// One tenant's quota and share.
+/// One tenant's quota and fair share.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second over all nodes that are within its quota.
+    /// Requests per second, over all nodes, that are within its quota.
     pub quota_per_s: f64,
-    /// Share of the service.
+    /// Fair share of the service, as a fraction.
     pub share: f64,
 }
 
-/// How the cache servers get what they lack.
+/// How values that are missing from the cache servers are fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheMode {
     /// The server fetches from the origin itself.
     ReadThrough,
-    /// The server answers "miss" and the node sends the request to the origin.
+    /// The server answers with a miss, and the node sends the request to the origin.
     CacheAside,
 }
 
 /// The meaning of a listed server's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Fixed, says nothing.
+    /// Fixed; carries no information.
     None,
-    /// Registered or approximate size.
+    /// Registered or approximate size of the server.
     Size,
-    /// Size over load, changing between endpoint lists.
+    /// Size divided by load; changes between endpoint lists.
     Live,
 }
 
-/// Everything that the decisions depend on from the start.
+/// Settings of the decision code, fixed when the [`Balancer`](crate::Balancer) is created.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes, by index.
+    /// Request classes; requests refer to them by index.
     pub classes: Vec<Class>,
-    /// Tenants, by index; may be empty.
+    /// Tenants; requests refer to them by index. May be empty.
     pub tenants: Vec<Tenant>,
-    /// Nodes that share the traffic, this one included.
+    /// Number of nodes that share the traffic, including this one.
     pub nodes: usize,
-    /// This node's number among them, from 0. None: unknown, its phase among them is drawn.
+    /// This node's number among them, from 0. None if unknown: its slow-start phase is then derived from the
+    /// seed.
     pub node_number: Option<u64>,
-    /// This node's zone, if known.
+    /// This node's zone. None if unknown.
     pub zone: Option<u16>,
-    /// True where the endpoint list must be polled, false where watch events arrive.
+    /// True if the endpoint list must be polled, false if discovery sends watch events.
     pub poll: bool,
-    /// Without a subscription, the list must be polled within this time.
+    /// Without a subscription, the endpoint list must be polled at least this often.
     pub poll_within: Micros,
-    /// How misses are served.
+    /// How cache misses are served.
     pub mode: CacheMode,
-    /// Kind of the endpoints that are the origin (cache-aside).
+    /// Kind label of the endpoints that belong to the origin (cache-aside).
     pub origin_kind: Option<u16>,
-    /// The origin fails under requests beyond this multiple of its capacity (0: no limit).
+    /// The origin fails if it gets more requests than this multiple of its capacity (0: no limit).
     pub origin_overload_multiple: f64,
     /// Meaning of the listed weights.
     pub weights: WeightMeaning,
     /// Whether weights go by work rather than by request.
     pub weight_by_work: bool,
-    /// Weight of a request beyond its tenant's quota, as a fraction of the usual.
+    /// Priority weight of a request beyond its tenant's quota, as a fraction of its class's.
     pub over_quota_weight: f64,
-    /// Least time between two batches of events.
+    /// Shortest time between two batches of events.
     pub tick: Micros,
-    /// Most attempts for a request.
+    /// Maximum number of attempts for a request.
     pub max_attempts: usize,
-    /// Most requests in flight at this node.
+    /// Maximum number of requests in flight at this node.
     pub max_in_flight: usize,
-    /// Whether attempts may be cancelled.
+    /// Whether pending attempts may be cancelled.
     pub cancel: bool,
     /// Whether probe requests are allowed.
     pub probes: bool,
@@ -131,19 +132,20 @@
     pub hedging: bool,
     /// The longest Retry-After that clients honour (0: none is sent).
     pub max_retry_after: Micros,
-    /// A connection not established within this time fails.
+    /// Connecting to a server fails if it takes longer than this.
     pub connect_timeout: Micros,
-    /// Nothing new to a draining or removed server later than this after it was announced.
+    /// No new attempt may be sent to a server later than this after it was announced as draining or removed.
     pub drain_grace: Micros,
-    /// A server starts at this fraction of its capacity, or above.
+    /// Least fraction of its capacity that a server has when it starts.
     pub cold_capacity: f64,
-    /// And is warm no later than this.
+    /// Longest time from a server's start until it is warm.
     pub warm_up_time: Micros,
-    /// A server that warms up and is sent over this multiple of its present capacity ...
+    /// A server that warms up is overloaded if it is sent more than this multiple of its present capacity for
+    /// the time `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long is overloaded.
+    /// See `overload_multiple`.
     pub overload_window: Micros,
-    /// How long after the client's deadline a final answer still counts.
+    /// Time after the client's deadline within which a final response still counts.
     pub answer_slack: Micros,
     /// Cost of a request that crosses zones, as a fraction of the service.
     pub price_cross_zone: f64,
@@ -154,41 +156,41 @@
 /// State of a listed server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerState {
-    /// Takes requests.
+    /// Accepts requests.
     Live,
-    /// Finishes the requests in flight; nothing new may be sent.
+    /// Finishes the requests in flight; no new ones may be sent to it.
     Draining,
-    /// Removed.
+    /// No longer part of the fleet.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// Id of the server.
     pub server: ServerId,
-    /// Listed weight, see [`WeightMeaning`].
+    /// Listed weight; see [`WeightMeaning`].
     pub weight: f64,
-    /// Zone label, if announced.
+    /// Zone label. None if not announced.
     pub zone: Option<u16>,
-    /// Kind label, if announced.
+    /// Label of the kind of machine. None if not announced.
     pub kind: Option<u16>,
-    /// State.
+    /// Whether it accepts requests.
     pub state: ServerState,
-    /// When it last started; none: long ago.
+    /// When it last started. None: long ago.
     pub started: Option<Micros>,
-    /// Cell label.
+    /// Cell label. None if not announced.
     pub cell: Option<u32>,
 }
 
-/// What an endpoint list holds.
+/// Which entries an endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// Changed entries only.
     Delta,
-    /// All entries; a server that is missing is removed.
+    /// All entries; a server that is missing has been removed.
     Full,
-    /// All entries as this node last had them, perhaps old.
+    /// All entries as this node last received them, possibly outdated.
     Cached,
 }
 
@@ -197,27 +199,27 @@
 pub enum Status {
     /// Served.
     Ok,
-    /// Error answer; may have run.
+    /// Error response; may have run.
     Error,
-    /// Rejected unseen.
+    /// Rejected by the server; never ran.
     Rejected,
-    /// No answer in time; may have run.
+    /// No response in time; may have run.
     Timeout,
-    /// No connection; never ran.
+    /// No connection was established; never ran.
     ConnectFailed,
-    /// Connection broke; may have run.
+    /// The connection broke; may have run.
     Reset,
-    /// Cancelled; may have run.
+    /// Cancelled by the node; may have run.
     Cancelled,
-    /// Not sent.
+    /// Not written to the server, or not completely; never ran.
     NotSent,
-    /// No value cached there; never ran.
+    /// The server has no cached value (cache-aside); never ran.
     Miss,
 }
 
 impl fmt::Display for Status {
-    /// The word that event traces and logs have had since their first version: programs read it, so it stays
-    /// where a variant's name changes.
+    /// Writes the name that event traces and logs have used since their first version. Programs read it, so
+    /// it stays the same even if the variant is renamed.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Status::Ok => "Ok",
@@ -234,7 +236,7 @@
 }
 
 impl Status {
-    /// Whether this end proves that the attempt never ran.
+    /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -243,184 +245,184 @@
     }
 }
 
-/// A load report; fields that a site lacks are none.
+/// A load report of a server. A field is None if the site's servers don't report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests in flight.
+    /// Requests in flight at the server.
     pub in_flight: Option<f64>,
-    /// Requests waiting.
+    /// Requests waiting in its queue.
     pub queue: Option<f64>,
     /// Busy fraction of its cores.
     pub util: Option<f64>,
-    /// Recent service time, without waiting, in microseconds.
+    /// Recent average service time, without waiting, in microseconds.
     pub service: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub qps: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub eps: Option<f64>,
-    /// Recent fraction of hits.
+    /// Recent cache hit fraction.
     pub hits: Option<f64>,
     /// Fetches in flight.
     pub fetches: Option<f64>,
 }
 
-/// What a cache server said of a finished attempt.
+/// Whether a cache server served a finished attempt from its cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheResult {
     /// Served from the cache.
     Hit,
-    /// Fetched, or missing.
+    /// Not cached: the server fetched the value, or answered with a miss.
     Miss,
-    /// Missing, and another request is fetching it.
+    /// Not cached, and already being fetched for another request.
     MissFetching,
 }
 
-/// A request taken by the node.
+/// A request that the node has accepted.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Id.
+    /// Id of the request.
     pub id: RequestId,
     /// Index into [`Settings::classes`].
     pub class: usize,
-    /// Index into [`Settings::tenants`].
+    /// Index into [`Settings::tenants`]. None if the tenant is unknown.
     pub tenant: Option<usize>,
-    /// Its subject.
+    /// Key of the requested value, if it has one.
     pub key: Option<Arc<str>>,
-    /// Time left until the client gives this request up.
+    /// Time from the request's arrival until the client gives up.
     pub budget: Micros,
-    /// Expected work in standard-core microseconds, if known.
+    /// Expected work in microseconds of a standard core, if known.
     pub work: Option<f64>,
     /// Size of the value in bytes, if known.
     pub size: Option<f64>,
-    /// Known to be a client's retry.
+    /// Whether it is known to be a client's retry.
     pub retry: bool,
-    /// A write.
+    /// Whether it is a write.
     pub write: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// The request.
+    /// Id of the request.
     pub request: RequestId,
     /// The server that the attempt was sent to.
     pub server: ServerId,
     /// Number of the attempt, from 0.
     pub attempt: usize,
-    /// Time since it was sent.
+    /// Time from sending the attempt to its end.
     pub latency: Micros,
     /// How it ended.
     pub status: Status,
-    /// The request has its final answer.
+    /// Whether the request has its final response.
     pub closed: bool,
     /// Whether the server answered from its cache, if known.
     pub cache_result: Option<CacheResult>,
-    /// Load report, if attached.
+    /// Load report, if the response carried one.
     pub load: Option<LoadReport>,
 }
 
 impl AttemptOutcome {
-    /// Not fetched from the origin, as far as is known.
+    /// Whether the response came from the cache; true if unknown.
     pub(crate) fn is_hit(&self) -> bool {
         self.cache_result
             .is_none_or(|result| result == CacheResult::Hit)
     }
 }
 
-/// What happens to a node.
+/// An event that a node reports to its decision code.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list, or changes to it.
+    /// An endpoint list, or changes to one, arrived.
     EndpointList(EndpointListKind, Arc<[Endpoint]>),
     /// A poll of the endpoint list failed, or the subscription dropped.
     EndpointListFailed,
-    /// A request was accepted; it needs exactly one final answer.
+    /// A request was accepted; it needs exactly one final response.
     Request(Request),
-    /// A streamed answer began.
+    /// A streamed response began.
     ResponseStarted {
-        /// Request.
+        /// Id of the request.
         request: RequestId,
-        /// Attempt, from 0.
+        /// Number of the attempt, from 0.
         attempt: usize,
     },
     /// An attempt ended.
     AttemptEnded(AttemptOutcome),
-    /// The client disconnected; no answer is needed any more.
+    /// The client disconnected; no response is needed any more.
     ClientDisconnected(RequestId),
-    /// Nothing more may be sent for this request: its client seems to be disconnected, or the node is about
-    /// to end. Pending attempts may still answer it, and it needs its final answer as ever.
+    /// No further attempt may be sent for this request: its client seems to be disconnected, or the node is
+    /// about to stop. Pending attempts may still answer it, and it still needs its final response.
     StopAttempts(RequestId),
-    /// A timer set earlier is due.
+    /// A timer expired; the token is that of its [`Action::SetTimer`].
     TimerExpired(u64),
-    /// A probe ended.
+    /// A probe request ended.
     ProbeEnded {
-        /// Server.
+        /// The server that was probed.
         server: ServerId,
-        /// Time since the probe.
+        /// Time from sending the probe to its end.
         latency: Micros,
         /// How it ended.
         status: Status,
-        /// Load report, if attached.
+        /// Load report, if the response carried one.
         load: Option<LoadReport>,
     },
     /// A message from another node.
     PeerMessage {
-        /// Sender's number.
+        /// Number of the sending node.
         from: u64,
-        /// Content.
+        /// Content of the message.
         data: Arc<[u8]>,
     },
 }
 
-/// The actions that an event leads to, in order.
+/// The actions that result from an event, in order.
 pub type Actions = Vec<Action>;
 
-/// What a node is to do.
+/// An action that the node is to perform.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt; they count from 0 for each request.
+    /// Start an attempt. The attempts of a request are numbered from 0.
     Send {
-        /// Request.
+        /// Id of the request.
         request: RequestId,
-        /// Server.
+        /// The server to send it to.
         server: ServerId,
-        /// Time-out of the attempt; none: until the client gives up.
+        /// Timeout of the attempt. None: until the client gives up.
         timeout: Option<Micros>,
     },
-    /// Final answer: rejected, a retry is harmless.
+    /// Final response: rejected; a retry is harmless.
     Reject {
-        /// Request.
+        /// Id of the request.
         request: RequestId,
-        /// Retry-After (0: none).
+        /// Retry-After (0: none is sent).
         retry_after: Micros,
     },
-    /// Final answer: failed, no promise.
+    /// Final response: failed; the request may have run, so that a retry may not be harmless.
     Fail {
-        /// Request.
+        /// Id of the request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel a pending attempt.
     Cancel {
-        /// Request.
+        /// Id of the request.
         request: RequestId,
-        /// Attempt.
+        /// Number of the attempt, from 0.
         attempt: usize,
     },
     /// Deliver [`Event::TimerExpired`] with this token after the delay.
     SetTimer {
         /// Delay from now.
         delay: Micros,
-        /// Token.
+        /// Token to deliver.
         token: u64,
     },
-    /// Probe a server.
+    /// Send a probe request to a server.
     Probe(ServerId),
     /// Close idle connections to a server.
     CloseIdleConnections(ServerId),
-    /// Subscribe to the endpoint list, or end that.
+    /// Subscribe to the endpoint list (true), or end the subscription (false).
     Subscribe(bool),
     /// Fetch the complete endpoint list once.
     FetchEndpointList,
-    /// A line for the operators.
+    /// Write a line to the operators' log.
     Log(String),
 }
--- a/crates/decision/src/hash.rs
+++ b/crates/decision/src/hash.rs
@@ -1,10 +1,10 @@
 //! Hash functions that all nodes of a fleet agree on.
 //!
 //! Guarantees: the same input gives the same hash on every platform and in every version
-//! (`tests/stable_numbers.rs`). Nodes choose home servers, phases and slots by these numbers without
-//! messages, so two versions in one fleet have to compute the same. Other packages that need a hash of this
-//! sort use these in place of one of their own. Not for secrets, nor against inputs that are chosen to
-//! collide.
+//! (`tests/stable_numbers.rs`). Nodes derive home servers, slow-start phases and slots from these hashes
+//! without exchanging messages, so two versions in one fleet must compute the same values. Other packages
+//! that need such a hash use these functions instead of their own. The hashes are not cryptographic, and
+//! offer no protection against inputs that are chosen to collide.
 //!
 //! ```
 //! use sloewick_decision::hash::{hash, unit_interval};
@@ -24,7 +24,7 @@
     })
 }
 
-/// A name as 64 bits: FNV-1a over its bytes, finalised by [`mix`].
+/// Hashes a name to 64 bits: FNV-1a over its bytes, finalised by [`mix`].
 pub fn hash(text: &str) -> u64 {
     mix(fnv1a(text.bytes()))
 }
@@ -37,7 +37,7 @@
     hash ^ (hash >> 31)
 }
 
-/// A 64-bit hash as a number from 0 up to but not including 1, by its upper 53 bits.
+/// Maps a 64-bit hash to a number from 0 up to but not including 1, by its upper 53 bits.
 pub fn unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/decision/src/in_flight.rs
+++ b/crates/decision/src/in_flight.rs
@@ -56,7 +56,7 @@
     pub(crate) attempts_stopped: bool,
     /// This node has not seen the key served recently: likely needs a fetch from the origin.
     pub(crate) likely_uncached: bool,
-    /// The cache server answered a miss (cache-aside): the next attempt goes to the origin.
+    /// The cache server answered with a miss (cache-aside): the next attempt goes to the origin.
     pub(crate) missed: bool,
 }
 
--- a/crates/decision/src/lib.rs
+++ b/crates/decision/src/lib.rs
@@ -1,15 +1,15 @@
 //! The decisions of a gateway node: which cache server gets each request, when to retry, when to hedge, when
 //! to reject.
 //!
-//! No I/O and no clock: events go in, actions come out, time is an argument. The same events at the same
-//! times give the same actions, in a node, in a simulator and in a test.
+//! The crate does no I/O and reads no clock: events go in, actions come out, time is an argument. The same
+//! events at the same times produce the same actions, in a node, in a simulator and in a test.
 //!
-//! [`api`] holds the interface and [`balancer`] dispatches events to one module for each concern.
-//! [`outlier_detection`] finds servers that fail by themselves, [`checkpoint`] is what the next process of a
-//! node takes over, [`settings`] reads the settings, [`hash`] and [`rng`] are what nodes agree by and draw
-//! from.
+//! [`api`] defines the interface, and [`balancer`] dispatches events to one module for each concern.
+//! [`outlier_detection`] finds servers that fail on their own, [`checkpoint`] is the state that the next
+//! process of a node takes over, and [`settings`] parses the settings. [`hash`] contains the hash functions
+//! that all nodes agree on, [`rng`] the seeded random generator.
 
-// The tests of the modules share their settings with the tests in `tests/`, which know the crate by its name.
+// Unit tests include `tests/support/settings.rs`, which refers to this crate by its name.
 #[cfg(test)]
 extern crate self as sloewick_decision;
 
--- a/crates/decision/src/partition.rs
+++ b/crates/decision/src/partition.rs
@@ -17,7 +17,8 @@
 const WINDOW_PER_SQUARED_SERVERS: f64 = 8.0;
 /// Most arrivals in the window, whatever its mass: bounds memory and sorting time in large fleets.
 pub(crate) const MAX_WINDOW: usize = 4096;
-/// Arrivals between two updates of the boundaries (UI): the window's length divided by this, or the minimum.
+/// Arrivals between two updates of the boundaries (UI): the window length divided by this, and at least
+/// `MIN_UPDATE_ARRIVALS`.
 const WINDOW_PER_UPDATE: usize = 32;
 const MIN_UPDATE_ARRIVALS: usize = 16;
 /// Blending time of the boundaries as a fraction of the warm-up time: they move slower than caches fill.
--- a/crates/decision/src/recently_served.rs
+++ b/crates/decision/src/recently_served.rs
@@ -1,16 +1,16 @@
-//! Keys that were served recently: likely a server still caches them, so that a request for one needs no
-//! fetch.
+//! Keys that were served recently: a server likely still caches them, so that a request for one needs no
+//! fetch from the origin.
 //!
-//! Guarantees: at most `MAX_KEYS` keys are remembered. No clock: time is an argument.
+//! Guarantees: at most `MAX_KEYS` keys are stored. The module reads no clock: time is an argument.
 
 use std::collections::HashMap;
 
 use crate::api::Micros;
 
-/// Keys remembered at most.
+/// Maximum number of stored keys.
 const MAX_KEYS: usize = 8192;
 
-/// When keys were served last: likely they are still cached somewhere.
+/// When each key was last served.
 #[derive(Default)]
 pub(crate) struct RecentlyServed {
     pub(crate) served_at: HashMap<u64, Micros>,
@@ -21,7 +21,8 @@
         self.served_at.contains_key(&key)
     }
 
-    /// A key was served now. Where there are too many, those older than `max_age` are dropped.
+    /// Records that a key was served now. If there are too many keys, drops those older than `max_age`, and
+    /// all of them if more than half of `MAX_KEYS` remain.
     pub(crate) fn record(&mut self, key: u64, now: Micros, max_age: Micros) {
         self.served_at.insert(key, now);
         if self.served_at.len() > MAX_KEYS {
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -176,7 +176,7 @@
         true
     }
 
-    /// Returns how long responses of a request's class usually take at most: after that, hedging is useful.
+    /// Returns a high latency quantile of a request's class, within bounds: after it, hedging is useful.
     fn hedging_delay(&self, request: &InFlightRequest) -> Micros {
         let class = &self.settings.classes[request.request.class];
         let quantile = self.latencies.high_quantile[request.request.class] as Micros;
--- a/crates/decision/src/retry_tests.rs
+++ b/crates/decision/src/retry_tests.rs
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn no_retries_while_answers_are_late() {
+fn no_retries_while_responses_are_late() {
     let mut node = node(0.0, 8);
     (node.averages.late, node.retry_budget.tokens) = (0.5, 0.0);
     for n in 0..50 {
--- a/crates/decision/src/test_support.rs
+++ b/crates/decision/src/test_support.rs
@@ -1,4 +1,4 @@
-//! Shared set-up of the tests: a node with servers, its requests and their outcomes.
+//! Shared test helpers: a node with servers, requests to it and their outcomes.
 
 use crate::api::{
     Action, AttemptOutcome, Class, Endpoint, EndpointListKind, Event, Micros, Request, ServerId,
@@ -11,11 +11,12 @@
 #[path = "../tests/support/settings.rs"]
 mod shared_settings;
 
+/// The latency estimate of a kind of machine.
 pub(crate) fn kind(log_sum: f64, samples: f64) -> KindEstimate {
     KindEstimate { log_sum, samples }
 }
 
-/// A node whose requests cost so much to cross zones.
+/// Settings with the given cost of a request that crosses zones.
 pub(crate) fn settings(price_cross_zone: f64) -> Settings {
     Settings {
         classes: vec![Class {
@@ -40,6 +41,7 @@
     }
 }
 
+/// The entry of a live server of zone 0 and kind 0.
 pub(crate) fn entry(name: &str) -> Endpoint {
     Endpoint {
         server: name.into(),
@@ -52,6 +54,7 @@
     }
 }
 
+/// A node with this many servers, which alternate between zones 0 and 1.
 pub(crate) fn node(price_cross_zone: f64, servers: u16) -> Balancer {
     let mut node = Balancer::new(settings(price_cross_zone), 1, 0).unwrap();
     let list = (0..servers)
@@ -68,6 +71,7 @@
     node
 }
 
+/// Gives the node the request `r{n}` for the key `k{n}`. Returns the server of its first attempt, if any.
 pub(crate) fn send_request(node: &mut Balancer, now: Micros, n: u32) -> Option<ServerId> {
     let request = Request {
         id: format!("r{n}").into(),
@@ -88,6 +92,7 @@
     })
 }
 
+/// Ends the first attempt of the request `r{n}`. Returns the resulting actions.
 pub(crate) fn end_attempt(
     node: &mut Balancer,
     now: Micros,
@@ -100,7 +105,7 @@
         request: format!("r{n}").into(),
         server: server.clone(),
         attempt: 0,
-        // What fails because of the origin has waited for it.
+        // An error caused by the origin takes time: the server has waited for the origin.
         latency: if status == Status::Error {
             100_000
         } else {
@@ -115,14 +120,15 @@
     actions
 }
 
-pub(crate) fn set_failing_fraction(node: &mut Balancer, share: f64) {
+/// Sets the failing fraction of all servers of the partition.
+pub(crate) fn set_failing_fraction(node: &mut Balancer, fraction: f64) {
     node.partition
         .servers
         .iter_mut()
-        .for_each(|s| s.failing_fraction = share);
+        .for_each(|s| s.failing_fraction = fraction);
 }
 
-/// Lets requests outlast their expected latency at one server; the number it took to eject it.
+/// Lets attempts at one server outlast their expected latency. Returns how many it took to eject the server.
 pub(crate) fn silent_attempts_until_ejected(
     node: &mut Balancer,
     recently_served: bool,
@@ -134,8 +140,8 @@
         if send_request(node, now, n) != Some(target.clone()) {
             continue;
         }
-        let (serial, held) = node.in_flight.requests.iter_mut().last().unwrap();
-        held.likely_uncached = !recently_served;
+        let (serial, request) = node.in_flight.requests.iter_mut().last().unwrap();
+        request.likely_uncached = !recently_served;
         let token = TimerToken::Hedge(*serial).into();
         node.handle(now + 100_000, Event::TimerExpired(token), &mut Vec::new());
         silent += 1;
--- a/crates/decision/src/timer_token.rs
+++ b/crates/decision/src/timer_token.rs
@@ -1,30 +1,30 @@
-//! The tokens of the balancer's timers: what a timer is for, as the number that the node gives back when it
-//! expires.
+//! Tokens of the balancer's timers: they encode the purpose of a timer as a number, which the node passes
+//! back when the timer expires.
 
 use crate::api::{Action, Micros};
 
-/// The purpose of a timer, in the two low bits of its token.
+/// The low bits of a token that encode the timer's purpose, and the codes of the purposes.
 const PURPOSE_BITS: u32 = 2;
 const DEADLINE: u64 = 0;
 const HEDGE: u64 = 1;
 const ENDPOINT_LIST: u64 = 2;
 const ZONE_PROBE: u64 = 3;
 
-/// What a timer is for.
+/// The purpose of a timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TimerToken {
-    /// No answer to the request of this serial number is useful after this.
+    /// After this, no response to the request with this serial number is useful.
     Deadline(u64),
-    /// The request of this serial number has waited for the hedging delay.
+    /// The hedging delay of the request with this serial number has passed.
     Hedge(u64),
-    /// The endpoint list is to be polled.
+    /// A poll of the endpoint list is due.
     EndpointList,
-    /// A lost zone is to be probed.
+    /// A probe of this lost zone is due. None: the servers without a zone label.
     ZoneProbe(Option<u16>),
 }
 
 impl TimerToken {
-    /// The action that sets this timer.
+    /// Returns the action that sets this timer.
     pub(crate) fn after(self, delay: Micros) -> Action {
         Action::SetTimer {
             delay,
--- a/crates/decision/src/timer_token_tests.rs
+++ b/crates/decision/src/timer_token_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn token_keeps_its_number_and_is_read_back() {
+fn token_encodes_to_a_fixed_number_and_decodes_back() {
     for (token, number) in [
         (TimerToken::Deadline(0), 0),
         (TimerToken::Deadline(7), 28),
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn token_of_no_zone_is_read_as_the_one_of_servers_without_a_zone() {
+fn zone_probe_token_with_an_out_of_range_zone_decodes_to_no_zone() {
     let token = u64::MAX >> 2 << 2 | 3;
     assert_eq!(TimerToken::from(token), TimerToken::ZoneProbe(None));
 }
