--- a/crates/decision/src/server_health.rs
+++ b/crates/decision/src/server_health.rs
@@ -1,9 +1,9 @@
-//! Server health: which servers fail or are silent, by the outcomes of attempts and probes.
+//! Server health: detects servers that fail or do not respond, from the outcomes of attempts and probes.
 //!
-//! Owns the state of each listed server ([`Server`]) and this node's averages over all of them
-//! ([`FailureAverages`]). A server whose failures in a row are unlikely to be chance is ejected for a time
-//! that doubles; after it, one attempt is a probe. Outliers, whose failures are spread, are the matter of
-//! [`crate::outlier_detection`].
+//! [`Server`] holds the state of one server, [`FailureAverages`] this node's averages over all servers. A
+//! server is ejected when its failures in a row are unlikely to be chance. Each further ejection lasts
+//! twice as long; when one has expired, one attempt at a time is sent as a probe. Outliers, whose failures
+//! are interspersed with successes, are detected by [`crate::outlier_detection`].
 
 use std::collections::VecDeque;
 
@@ -18,49 +18,54 @@
 
 /// Odds against chance at which failures in a row eject a server.
 const EJECTION_ODDS: f64 = 1000.0;
-/// First ejection in connect timeouts and in ticks, at least; the longest is half of the warm-up time.
-const EJECTION_CONNECT_TIMEOUTS: i64 = 10;
+/// Minimum ejection time: this many connect timeouts or this many ticks, whichever is longer. The maximum
+/// is half of the warm-up time, but at least the minimum.
+const MIN_EJECTION_CONNECT_TIMEOUTS: i64 = 10;
 const MIN_EJECTION_TICKS: i64 = 10;
-/// The least fraction of attempts that is taken to be silent by chance.
+/// Lower bound of the fraction of attempts that are assumed to exceed their expected latency by chance.
 pub(crate) const MIN_SILENT_FRACTION: f64 = 0.02;
-/// Finished requests or attempts over which this node's averages are taken.
+/// Time constant of this node's moving averages, in finished requests or attempts.
 pub(crate) const AVERAGING_SPAN: f64 = 64.0;
-/// Attempts over which a server's failures are averaged.
+/// Time constant of the moving average of a server's failures, in attempts.
 const SERVER_AVERAGING_SPAN: f64 = 16.0;
-/// Least fraction of its range that an overrun server retains.
+/// Lower bound of a server's timely fraction: even an overrun server retains this fraction of its range.
 pub(crate) const MIN_TIMELY_FRACTION: f64 = 0.1;
-/// Timely fraction from which a server counts as able to take its whole range.
+/// Timely fraction at or above which a server is given its whole range.
 const HEALTHY_TIMELY_FRACTION: f64 = 0.9;
-/// Fraction of the expected latency within which an error is the server's own: nothing has waited for the
-/// origin.
-const QUICK_FRACTION: f64 = 0.5;
-/// Least fraction of the expected latency that an attempt counts for.
+/// An error within this fraction of the expected latency is attributed to the server: the request has not
+/// waited for the origin.
+const QUICK_ERROR_FRACTION: f64 = 0.5;
+/// Lower bound of [`AttemptEvidence::latency_fraction`].
 const MIN_LATENCY_FRACTION: f64 = 0.1;
 
-/// A server of the partition, of another zone, or an entry of the origin.
+/// State of a server in the partition or in another zone, or of an origin entry.
 pub(crate) struct Server {
     pub(crate) entry: Endpoint,
-    /// Place in the order that all nodes share: a hash of the name.
+    /// Sort key in the order of servers that all nodes share: a hash of the name.
     pub(crate) order: u64,
-    /// Upper bound of its range.
+    /// Upper bound of its range in the key space, from 0 to 1.
     pub(crate) upper_bound: f64,
-    /// Evidence of failures since its last answer: logarithm of the odds against chance.
+    /// Evidence of failures since its last successful response: logarithm of the odds against chance.
     pub(crate) failure_log_odds: f64,
-    /// End and length of its ejection (length 0: not ejected), and until when a probe request is in flight.
+    /// End of its ejection.
     pub(crate) ejected_until: Micros,
+    /// Duration of its ejection; 0 if it is not ejected.
     pub(crate) ejection_time: Micros,
+    /// Until when a probe request counts as in flight.
     pub(crate) probe_until: Micros,
-    /// Fraction of its range that it answers in time: falls with attempts that outlast their expected
-    /// latency.
+    /// Fraction of its range that it can serve in time: falls with each attempt that it rejects or that
+    /// exceeds its expected latency, rises with each timely response.
     pub(crate) timely_fraction: f64,
-    /// Fraction of its attempts for recently served keys that failed or were given up.
+    /// Moving average of the fraction of its attempts for recently served keys that failed or were
+    /// abandoned.
     pub(crate) failing_fraction: f64,
-    /// Attempts of this node in flight to it.
+    /// Attempts of this node that are in flight to it.
     pub(crate) pending_attempts: u32,
-    /// When it was sent attempts while it warmed up, within the overload window: they count against this
-    /// node's quota.
+    /// Times of the attempts sent to it while it warmed up, within the overload window. They count against
+    /// this node's quota.
     pub(crate) cold_sends: VecDeque<Micros>,
-    /// When its zone recovered after it was lost.
+    /// When its zone recovered from a loss. None: not lost, or the endpoint list has announced a start
+    /// since.
     pub(crate) zone_recovered: Option<Micros>,
 }
 
@@ -83,17 +88,18 @@
         }
     }
 
-    /// Ejected and not answered since, also when the time of the ejection is over.
+    /// Whether the server was ejected and has not responded successfully since, even if the ejection has
+    /// expired.
     pub(crate) fn is_ejected(&self) -> bool {
         self.ejection_time > 0
     }
 
-    /// Answers so much in time that it counts as able to take its whole range.
+    /// Whether the server serves enough in time to be given its whole range.
     pub(crate) fn is_timely(&self) -> bool {
         self.timely_fraction >= HEALTHY_TIMELY_FRACTION
     }
 
-    /// The fraction of its range that it can take as far as it answers in time.
+    /// Fraction of its range that the server can take, going by its timely fraction alone.
     pub(crate) fn timely_range_fraction(&self) -> f64 {
         if self.is_timely() {
             1.0
@@ -116,13 +122,14 @@
     }
 }
 
-/// Fractions of what this node has finished last, at all servers.
+/// Moving averages over the requests and attempts that this node finished last, at all servers.
 pub(crate) struct FailureAverages {
-    /// Requests that failed or were answered after their latency objective.
+    /// Fraction of requests that failed or were answered after their latency objective.
     pub(crate) late: f64,
-    /// Attempts that were not answered within their expected latency.
+    /// Fraction of attempts that were not answered within their expected latency.
     pub(crate) silent: f64,
-    /// Attempts whose connection broke.
+    /// Fraction of attempts whose connection broke, among those that ended with a response or a broken
+    /// connection.
     pub(crate) reset: f64,
 }
 
@@ -137,7 +144,7 @@
 }
 
 impl FailureAverages {
-    /// A request ended.
+    /// Records the end of a request. `late`: it failed or was answered after its latency objective.
     pub(crate) fn record_request(&mut self, late: bool) {
         self.late += (f64::from(u8::from(late)) - self.late) / AVERAGING_SPAN;
     }
@@ -158,20 +165,21 @@
     }
 }
 
-/// What the end of an attempt says, by its request as it was then.
+/// Evidence from the end of an attempt, with the state of its request at that time.
 pub(crate) struct AttemptEvidence {
     pub(crate) kind: RequestKind,
     pub(crate) likely_uncached: bool,
+    /// Hash of the key.
     key: Option<u64>,
-    /// Failed for a reason that may be the origin's as well as the server's.
+    /// Ended with an error or a timeout, of which the server or the origin may be the cause.
     pub(crate) failed: bool,
-    /// Time taken, as a fraction of the expected latency.
+    /// Latency as a fraction of the expected latency, at most 1.
     pub(crate) latency_fraction: f64,
-    /// An error too soon for anything to have waited for the origin: the server's own.
+    /// An error too early for the request to have waited for the origin, so that the server is its cause.
     pub(crate) quick_error: bool,
-    /// Answered or failed by the server's own doing.
+    /// The server alone accounts for the outcome: a quick error, or a response within the expected latency.
     attributed_to_server: bool,
-    /// More time has passed since the request arrived than the latency objective of its class.
+    /// The time since the request arrived exceeds the latency objective of its class.
     pub(crate) past_objective: bool,
 }
 
@@ -188,8 +196,8 @@
         let status = outcome.status;
         let latency_fraction =
             (outcome.latency as f64 / expected.max(1) as f64).clamp(MIN_LATENCY_FRACTION, 1.0);
-        let quick_error = status == Status::Error && latency_fraction < QUICK_FRACTION;
-        // Silence for too long is evidence already when the expected latency passes.
+        let quick_error = status == Status::Error && latency_fraction < QUICK_ERROR_FRACTION;
+        // An attempt beyond its expected latency has already been counted as a failure by `record_silence`.
         let answered = matches!(status, Status::Ok | Status::Miss) && outcome.latency < expected;
         AttemptEvidence {
             kind: request.kind(),
@@ -205,7 +213,7 @@
 }
 
 impl Balancer {
-    /// The servers among which a listed one stands.
+    /// The partition that holds a listed server: that of the other zones or this node's own.
     pub(crate) fn partition_of(&mut self, server: &ServerId) -> &mut Partition {
         if self.other_zones.index.contains_key(server) {
             &mut self.other_zones
@@ -220,7 +228,7 @@
         Some(&mut partition.servers[index])
     }
 
-    /// A server that an endpoint list has named, or an entry of the origin.
+    /// A listed server or an origin entry.
     pub(crate) fn known_server(&self, server: &ServerId) -> Option<&Server> {
         let listed = [&self.partition, &self.other_zones]
             .into_iter()
@@ -233,14 +241,17 @@
         Some(&mut self.partition.servers[index])
     }
 
-    /// Not ejected or due for a probe, in a zone that is not lost.
+    /// Whether a server of the partition may get requests: not ejected or due for a probe, in a zone that
+    /// is not lost.
     pub(crate) fn is_available(&self, now: Micros, index: usize) -> bool {
         let server = &self.partition.servers[index];
         let probe_due = now >= server.ejected_until && now >= server.probe_until;
         (!server.is_ejected() || probe_due) && !self.zone_health.is_lost(server.entry.zone)
     }
 
-    /// What an outcome, or silence (no status), says of a server and its zone.
+    /// Updates the health of a server and its zone from the outcome of an attempt or a probe, and ejects
+    /// the server if its failures are unlikely to be chance. `status` is None for an attempt that has
+    /// exceeded its expected latency without a response.
     pub(crate) fn observe_server(
         &mut self,
         now: Micros,
@@ -251,7 +262,7 @@
         self.observe_zone(now, server, status, actions);
         let evidence = self.failure_evidence(status);
         let settings = &self.settings;
-        let min_ejection = (EJECTION_CONNECT_TIMEOUTS * settings.connect_timeout)
+        let min_ejection = (MIN_EJECTION_CONNECT_TIMEOUTS * settings.connect_timeout)
             .max(MIN_EJECTION_TICKS * settings.tick);
         let max_ejection = (settings.warm_up_time / 2).max(min_ejection);
         let Some(server) = self.listed_server(server) else {
@@ -283,22 +294,25 @@
         self.log(text, actions);
     }
 
-    /// How much an outcome, or silence, says against its server: logarithm of the odds against chance. None:
-    /// nothing.
+    /// Evidence of an outcome against its server, as the logarithm of the odds against chance. `status` is
+    /// None for an attempt that has exceeded its expected latency. Returns None if the outcome is no
+    /// evidence.
     fn failure_evidence(&self, status: Option<Status>) -> Option<f64> {
         match status {
-            // Connection refused: "not to this node", however many other servers did the same.
+            // A server that cannot be connected to takes no requests from this node, however many other
+            // servers fail likewise.
             Some(Status::ConnectFailed) => Some(EJECTION_ODDS.ln()),
-            // Guards against healthy servers ejected because idle connections end at all of them: two in a
-            // row look like a crash only where few break.
+            // Two resets in a row eject a server only where few connections break. Guards against ejecting
+            // healthy servers when idle connections end at all of them.
             Some(Status::Reset) => Some((EJECTION_ODDS.ln() / 2.0).min(-self.averages.reset.ln())),
             None => Some(-self.averages.silent.max(MIN_SILENT_FRACTION).ln()),
-            // Late timeouts and errors say as much of the origin and the load as of the server.
+            // Timeouts and late errors may be caused by the origin or the load as well as by the server.
             Some(_) => None,
         }
     }
 
-    /// The end of an attempt of whatever request, also of one that is no longer in flight.
+    /// Updates server health and the connection average when an attempt ends, even if its request is no
+    /// longer in flight.
     pub(crate) fn observe_attempt_end(
         &mut self,
         now: Micros,
@@ -309,7 +323,8 @@
         self.averages.record_connection(outcome.status);
     }
 
-    /// What an attempt of a request in flight says of its server beside all others.
+    /// Updates the outlier detector and the failing fraction of the server when an attempt of a request in
+    /// flight ends. A key whose attempt failed no longer counts as recently served.
     pub(crate) fn record_server_evidence(
         &mut self,
         now: Micros,
@@ -334,7 +349,8 @@
         }
     }
 
-    /// An attempt for a recently served key was answered, or failed or was given up.
+    /// Updates the failing fraction of a server after an attempt for a recently served key. `failed`: it
+    /// failed or was abandoned.
     pub(crate) fn record_cached_attempt(&mut self, server: &ServerId, failed: bool) {
         if let Some(server) = self.partition_server(server) {
             let failed = f64::from(u8::from(failed));
@@ -342,24 +358,25 @@
         }
     }
 
-    /// An attempt is not pending any more at its server.
+    /// Decrements the number of pending attempts of a server.
     pub(crate) fn record_end_of_attempt(&mut self, server: &ServerId) {
         if let Some(server) = self.partition_server(server) {
             server.end_attempt();
         }
     }
 
-    /// A request has its final answer.
+    /// Records the response that an attempt gave to its request as the final one.
     pub(crate) fn record_answer(&mut self, outcome: &AttemptOutcome, evidence: &AttemptEvidence) {
         let late = evidence.past_objective;
-        // What was fetched is late by the origin's time, however little the servers have to do.
+        // A late response that was fetched is not counted: the origin may have delayed it, however little
+        // load the servers have.
         if outcome.is_hit() || !late {
             self.averages
                 .record_request(outcome.status != Status::Ok || late);
         }
     }
 
-    /// Closes the attempt that a report is about, and counts it as timely where it is.
+    /// Marks an attempt as ended, and records it as timely if it was answered within its expected latency.
     pub(crate) fn end_attempt(&mut self, serial: u64, outcome: &AttemptOutcome) {
         let Some(request) = self.in_flight.requests.get_mut(&serial) else {
             return;
@@ -385,7 +402,7 @@
         }
     }
 
-    /// A server served a request: what it took, and that the key is likely cached now.
+    /// Records a successful response: its latency, and that the key of a read is likely cached now.
     pub(crate) fn record_served(&mut self, now: Micros, serial: u64, outcome: &AttemptOutcome) {
         let Some(request) = self.in_flight.requests.get(&serial) else {
             return;
@@ -405,7 +422,8 @@
         }
     }
 
-    /// Attempts of a request have outlasted their expected latency.
+    /// Marks the attempts of a request that have exceeded their expected latency as silent, and counts them
+    /// against their servers. Attempts of a streamed response are exempt.
     pub(crate) fn record_silence(&mut self, now: Micros, serial: u64, actions: &mut Actions) {
         let request = self.in_flight.requests.get_mut(&serial);
         let Some(request) = request.filter(|r| !r.streaming) else {
@@ -433,7 +451,8 @@
         }
     }
 
-    /// What a request that ends without an answer says of servers, origin, retries and this node.
+    /// Updates the statistics of servers, origin, retries and this node when a request ends without a
+    /// response.
     pub(crate) fn record_unanswered(&mut self, now: Micros, serial: u64) {
         let request = &self.in_flight.requests[&serial];
         let pending = request.attempts.iter().filter(|a| a.is_pending());
@@ -441,7 +460,8 @@
         let (kind, likely_uncached) = (request.kind(), request.likely_uncached);
         let first_pending = request.attempts.first().is_some_and(Attempt::is_pending);
         let retry_pending = request.attempts.iter().skip(1).any(Attempt::is_pending);
-        // What its client's disconnect or the node's end cut short says nothing of the load.
+        // A request cut short by its client's disconnect or by the shutdown of the node is no evidence of
+        // load.
         let counts_as_late = !request.attempts.is_empty() && !request.attempts_stopped;
         if retry_pending {
             self.retry_budget.record(false);
--- a/crates/decision/src/server_health_tests.rs
+++ b/crates/decision/src/server_health_tests.rs
@@ -13,17 +13,17 @@
 }
 
 #[test]
-fn server_with_broken_connections_is_ejected_unless_many_break_anyway() {
-    let resets_until_sick = |node: &mut Balancer| {
+fn server_is_ejected_after_two_resets_unless_resets_are_common() {
+    let resets_until_ejected = |node: &mut Balancer| {
         let server = node.partition.servers[3].entry.server.clone();
         (1..20).find(|_| {
             node.observe_server(1000, &server, Some(Status::Reset), &mut Vec::new());
             node.partition.servers[3].is_ejected()
         })
     };
-    assert_eq!(resets_until_sick(&mut node(0.0, 8)), Some(2));
+    assert_eq!(resets_until_ejected(&mut node(0.0, 8)), Some(2));
     let mut node = node(0.0, 8);
-    // One attempt in eight breaks, at all servers alike.
+    // One connection in eight breaks, at all servers alike.
     for n in 0..800 {
         if let Some(server) = send_request(&mut node, 1000, n) {
             end_attempt(
@@ -39,22 +39,25 @@
             );
         }
     }
-    assert!(resets_until_sick(&mut node).is_some_and(|n| n >= 3));
+    assert!(resets_until_ejected(&mut node).is_some_and(|n| n >= 3));
 }
 
 #[test]
 fn silence_lowers_the_timely_fraction_for_recently_served_keys_only() {
-    for known in [true, false] {
+    for recently_served in [true, false] {
         let mut node = node(0.0, 8);
-        silent_attempts_until_ejected(&mut node, known);
-        assert_eq!(node.partition.servers[3].timely_fraction < 1.0, known);
+        silent_attempts_until_ejected(&mut node, recently_served);
+        assert_eq!(
+            node.partition.servers[3].timely_fraction < 1.0,
+            recently_served
+        );
     }
 }
 
 #[test]
-fn refused_connections_move_keys_even_when_most_servers_refuse() {
+fn keys_move_to_the_only_accepting_server_when_all_others_refuse_connections() {
     let mut node = node(0.0, 8);
-    let open = node.partition.servers[3].entry.server.clone();
+    let accepting = node.partition.servers[3].entry.server.clone();
     for server in node
         .partition
         .servers
@@ -62,28 +65,28 @@
         .map(|s| s.entry.server.clone())
         .collect::<Vec<_>>()
     {
-        if server != open {
+        if server != accepting {
             node.observe_server(1000, &server, Some(Status::ConnectFailed), &mut Vec::new());
         }
     }
-    assert!((0..40).all(|n| send_request(&mut node, 2000, n) == Some(open.clone())));
+    assert!((0..40).all(|n| send_request(&mut node, 2000, n) == Some(accepting.clone())));
 }
 
-/// What is learned over many servers and zones must not break the smallest fleet.
+/// The rules are made for many servers and zones; they must also work in a fleet with a single server.
 #[test]
-fn only_server_is_probed_after_each_ejection_and_has_all_requests_once_it_answers() {
+fn only_server_is_probed_after_each_ejection_and_gets_all_requests_once_it_responds() {
     for started in [None, Some(0)] {
         let mut node = node(0.0, 1);
         node.partition.servers[0].entry.started = started;
-        let (mut now, mut tried, mut actions) = (0, 0, Vec::new());
+        let (mut now, mut probes, mut actions) = (0, 0, Vec::new());
         for n in 0..300 {
             now += 100_000;
             if let Some(server) = send_request(&mut node, now, n) {
-                tried += 1;
+                probes += 1;
                 node.observe_server(now, &server, Some(Status::ConnectFailed), &mut actions);
             }
         }
-        assert!(tried >= 3, "{tried} trials in 30 s");
+        assert!(probes >= 3, "{probes} probes in 30 s");
         let server = node.partition.servers[0].entry.server.clone();
         node.observe_server(now, &server, Some(Status::Ok), &mut actions);
         let served = (300..400)
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -1,15 +1,16 @@
-//! Slow start: what a server that has just started is given of its range, beside the others of its fleet.
+//! Slow start: limits what is sent to a server that has just started, relative to the other servers.
 //!
-//! Guarantees: the range fraction of a server that warms up is never above `MAX_OVERLOAD_FRACTION` of the
-//! multiple at which it is overloaded, counted from the least capacity that its settings allow it; a warm one
-//! has all of its range. And whatever the popularity of its keys and however many nodes there are: within any
-//! overload window the first attempts that all nodes together send it come to the overload multiple at most,
-//! counted from what an average server of the fleet is sent, to within what [`SlowStart::quota_in_slot`]
-//! says. No clock: time is an argument.
+//! Guarantees: the range fraction of a server that warms up never exceeds `MAX_OVERLOAD_FRACTION` of the
+//! overload multiple, times the minimum capacity that the settings grant it at its age; a warm server has
+//! its whole range. Regardless of the popularity of its keys and of the number of nodes, the first attempts
+//! that all nodes together send it within any overload window stay within the overload multiple of what an
+//! average server of the fleet is sent, except for the deviation described at [`SlowStart::quota_in_slot`].
+//! No clock: time is an argument.
 //!
-//! Not guaranteed: a server much slower than the others of its kind is counted as one of them, and servers
-//! that warm up and yet take all of their range (a range fraction of 1) are secondaries without a bound. The
-//! law of the sum, and its values by number of nodes: `docs/design/cold-servers.md`.
+//! Not guaranteed: a server much slower than the others of its kind is treated like the others, and servers
+//! that warm up but nevertheless take their whole range (a range fraction of 1) are used as secondaries
+//! without a bound. The formula for the sum over all nodes, with its values by number of nodes, is in
+//! `docs/design/cold-servers.md`.
 
 use std::collections::VecDeque;
 
@@ -18,40 +19,45 @@
 use crate::hash::{mix, unit_interval};
 use crate::server_health::Server;
 
-/// Fraction of the overload multiple that a server that warms up is given at most. The rest is a margin for
-/// chance and for misses, which take more work than hits.
+/// Maximum load of a server that warms up, as a fraction of the overload multiple. The rest is a margin for
+/// random variation and for misses, which take more work than hits.
 const MAX_OVERLOAD_FRACTION: f64 = 0.7;
-/// Multiple of its capacity that such a server is given if no other one relieves it.
+/// Maximum load of such a server if no other server relieves it, as a multiple of its capacity.
 const MAX_UNRELIEVED_MULTIPLE: f64 = 1.4;
-/// How long a mean of the fleet is used; warm-ups take seconds.
+/// How long the mean warm-up fraction of the fleet is reused, in microseconds; warm-ups take seconds.
 const MEAN_MAX_AGE: Micros = 100_000;
-/// Fraction of the overload window that a node that has just started is taken to have run, at least: its
-/// first arrivals come by chance.
+/// Lower bound of the fraction of the overload window that a node counts as having observed: right after
+/// its start, its first arrivals are too random to extrapolate from.
 const MIN_WINDOW_FRACTION: f64 = 0.125;
-/// Length of a slot, in overload windows. Longer ones waste less at their changes; in shorter ones a server
-/// whose nodes have no request for it waits less for others.
+/// Length of a slot, in overload windows. Longer slots waste less at slot changes; with shorter ones, a
+/// server whose slot owners have no request for it gets other owners sooner.
 const SLOT_WINDOWS: i64 = 6;
-/// Phases of neighbouring node numbers lie far apart, and those of any number of nodes are spread evenly.
+/// Difference between the phases of consecutive node numbers: consecutive numbers get distant phases, and
+/// the phases of any number of nodes are spread evenly.
 const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
 
-/// How servers warm up here, how warm the fleet is as a whole, and how many requests this node receives.
+/// Warm-up settings, the mean warm-up fraction of the fleet, and the arrival count of this node.
 pub(crate) struct SlowStart {
+    /// Time from its start until a server is warm.
     warm_up_time: Micros,
+    /// Minimum fraction of its capacity that a server has when it starts.
     cold_capacity: f64,
+    /// Upper bound of the ratio of range fraction to warm-up fraction.
     max_multiple: f64,
-    mean_warm_up: f64,
+    mean_warm_up_fraction: f64,
     mean_updated: Option<Micros>,
     overload_window: Micros,
     overload_multiple: f64,
-    /// Arrivals at this node, each decaying over `overload_window`; when the last one was, and the first.
+    /// Number of arrivals at this node, each decaying over `overload_window`.
     recent_arrivals: f64,
     last_arrival: Micros,
+    /// None before the first arrival.
     first_arrival: Option<Micros>,
     /// This node's phase among all nodes, from 0 to 1.
     phase: f64,
 }
 
-/// The phase of a node: by its number, or drawn where it has none.
+/// Phase of a node, from 0 to 1: derived from its number, or from the seed if it has none.
 fn phase(node_number: Option<u64>, seed: u64) -> f64 {
     node_number.map_or(unit_interval(mix(seed)), |number| {
         (number as f64 * GOLDEN_RATIO).fract()
@@ -59,13 +65,13 @@
 }
 
 impl SlowStart {
-    /// A fleet of servers that are all warm.
+    /// The state before any arrival, with all servers assumed warm.
     pub(crate) fn new(settings: &Settings, seed: u64) -> SlowStart {
         SlowStart {
             warm_up_time: settings.warm_up_time,
             cold_capacity: settings.cold_capacity,
             max_multiple: (MAX_OVERLOAD_FRACTION * settings.overload_multiple).max(1.0),
-            mean_warm_up: 1.0,
+            mean_warm_up_fraction: 1.0,
             mean_updated: None,
             overload_window: settings.overload_window.max(1),
             overload_multiple: settings.overload_multiple.max(1.0),
@@ -76,7 +82,7 @@
         }
     }
 
-    /// A request came to this node.
+    /// Records the arrival of a request at this node.
     pub(crate) fn record_arrival(&mut self, now: Micros) {
         self.first_arrival.get_or_insert(now);
         self.recent_arrivals = self.recent_arrivals * self.decay(now - self.last_arrival) + 1.0;
@@ -87,29 +93,33 @@
         (-(age.max(0) as f64) / self.overload_window as f64).exp()
     }
 
-    /// First attempts that this node may send a server of this warm-up fraction within the overload window,
-    /// on average over the slots: the overload multiple of what an average server is sent by this node. Each
-    /// node's quota follows from its own traffic, so that the quotas of all nodes add up to the fleet's. At a
-    /// quiet node it is below one.
+    /// First attempts that this node may send to a server of this warm-up fraction within the overload
+    /// window, averaged over the slots: the overload multiple of what this node sends to an average server,
+    /// in proportion to the warm-up fraction. Each node's quota follows from its own traffic, so that the
+    /// quotas of all nodes add up to that of the fleet. At a node with little traffic it is below one.
     pub(crate) fn quota(&self, warm_up_fraction: f64, now: Micros, servers: usize) -> f64 {
         let before_first = self.decay(self.first_arrival.map_or(0, |first| now - first));
         let observed = (1.0 - before_first).max(MIN_WINDOW_FRACTION);
-        // Neither the current arrival nor the one that began the count says how many come: at a node that has
-        // just started they would be most of what it counts. One at least, or a quiet node would send none.
+        // The current arrival and the first one are excluded: they contain no information about the rate,
+        // and at a node that has just started they would be most of the count. At least one arrival is
+        // assumed, or a node with little traffic would never send.
         let recent = self.recent_arrivals * self.decay(now - self.last_arrival);
         let others = (recent - 1.0 - before_first).max(1.0);
         self.overload_multiple * warm_up_fraction * others / observed / servers.max(1) as f64
     }
 
-    /// First attempts that this node may send a server (its `order`, when it started) within the overload
-    /// window: the integral part of its quota, and one more in the slots that this node has at the server.
+    /// First attempts that this node may send to a server within the overload window: the integral part of
+    /// its quota, plus one in the slots that this node owns at the server. `order` is the server's
+    /// [`Server::order`], `started` the time of its start.
     ///
-    /// Guards against the sum of the remainders: if each of n nodes may always send one, n is the bound,
-    /// however small their quotas. Who has a slot follows from the server, the slot and the nodes' numbers:
-    /// at each time a server has a point on a circle on which the phases of all nodes are spread evenly, and
-    /// the slot belongs to the nodes that lie behind it by less than their quota. So with equal quotas their
-    /// sum is met to within two, where draws would scatter about it by its root. No two slots meet in a
-    /// window: who gets a new slot waits for as long as the owners of the one before may have sent.
+    /// Guards against the sum of the remainders: if each of n nodes could always send one attempt, the
+    /// limit would be n, however small the quotas. Who owns a slot follows from the server, the slot and
+    /// the node numbers: in each slot a server has a point on a circle on which the phases of all nodes are
+    /// spread evenly, and the slot belongs to the nodes on the arc that starts there and is as long as the
+    /// fractional part of their quota. With equal quotas the sum over all nodes thus deviates from the sum
+    /// of the quotas by at most two, whereas random draws would deviate by its square root. Attempts of two
+    /// slots never fall into the same window: a new owner waits for as long as attempts of the previous
+    /// owners may still count.
     pub(crate) fn quota_in_slot(
         &self,
         quota: f64,
@@ -119,20 +129,22 @@
     ) -> f64 {
         let age = started.map_or(0, |started| (now - started).max(0));
         let slot_length = SLOT_WINDOWS * self.overload_window;
-        let (slot, since) = (age / slot_length, age % slot_length);
+        let (slot, since_slot_start) = (age / slot_length, age % slot_length);
         let remainder = quota.fract();
         let owns = |slot: i64| {
             let point = unit_interval(mix(order ^ mix(slot as u64)));
             (self.phase + point).fract() < remainder
         };
-        let owned = owns(slot) && (since >= self.overload_window || slot == 0 || owns(slot - 1));
+        let owned =
+            owns(slot) && (since_slot_start >= self.overload_window || slot == 0 || owns(slot - 1));
         quota.floor() + f64::from(u8::from(owned))
     }
 
-    /// Records a first attempt at a server that warms up, by the time it was sent.
+    /// Records the time of an attempt sent to a server, if the server warms up, and drops times that are
+    /// older than the overload window.
     ///
-    /// Guards against a bound that holds on average only: what is not used in one window may not be sent on
-    /// top of the next one's. At most the quota of the last window is kept.
+    /// Guards against a limit that holds on average only: what is unused in one window must not be sent on
+    /// top of the quota of the next. The list holds at most the quota of the last window.
     pub(crate) fn record_send(
         &self,
         sends: &mut VecDeque<Micros>,
@@ -150,7 +162,7 @@
         }
     }
 
-    /// Whether one more attempt is within the quota, after those of the last window.
+    /// Whether one more attempt is within the quota, given the attempts of the last overload window.
     pub(crate) fn is_within_quota(
         &self,
         sends: &VecDeque<Micros>,
@@ -165,7 +177,8 @@
         recent as f64 + 1.0 <= quota
     }
 
-    /// The least fraction of its capacity that a server has so long after its start: 1 once it is warm.
+    /// Minimum fraction of its capacity that a server has at its age: 1 once it is warm, or if its start is
+    /// unknown (None).
     pub(crate) fn warm_up_fraction(&self, started: Option<Micros>, now: Micros) -> f64 {
         let Some(started) = started else { return 1.0 };
         let age = (now - started).max(0);
@@ -175,39 +188,39 @@
         self.cold_capacity + (1.0 - self.cold_capacity) * age as f64 / self.warm_up_time as f64
     }
 
-    /// Whether the mean of the fleet has to be updated.
+    /// Whether the mean warm-up fraction of the fleet has to be updated.
     pub(crate) fn is_mean_stale(&self, now: Micros) -> bool {
         !self
             .mean_updated
             .is_some_and(|updated| (0..MEAN_MAX_AGE).contains(&(now - updated)))
     }
 
-    /// Updates the mean from the warm-up fractions of all servers that take work.
+    /// Updates the mean from the warm-up fractions of all servers that are not ejected.
     pub(crate) fn update_mean(&mut self, now: Micros, fractions: impl Iterator<Item = f64>) {
         self.mean_updated = Some(now);
         let (sum, servers) =
             fractions.fold((0.0, 0u32), |(sum, n), fraction| (sum + fraction, n + 1));
-        self.mean_warm_up = if servers == 0 {
+        self.mean_warm_up_fraction = if servers == 0 {
             1.0
         } else {
             sum / f64::from(servers)
         };
     }
 
-    /// The fraction of its range for a server of this warm-up fraction. What cold servers don't take, the
-    /// warm ones get on top of their own: where most of a fleet warms up at once, fractions that are the
-    /// warm-up fractions alone would leave all requests to the few that are warm. So each is given as much of
-    /// its capacity as all the others are.
+    /// Fraction of its range that a server of this warm-up fraction is given. The warm servers take over
+    /// the rest on top of their own ranges. If most of a fleet warms up at once, range fractions equal to
+    /// the warm-up fractions would leave all requests to the few warm servers; so each server is loaded to
+    /// the same fraction of its capacity as the others, within `max_multiple`.
     pub(crate) fn range_fraction(&self, warm_up_fraction: f64) -> f64 {
         if warm_up_fraction >= 1.0 {
             return 1.0;
         }
-        let multiple = (1.0 / self.mean_warm_up).clamp(1.0, self.max_multiple);
+        let multiple = (1.0 / self.mean_warm_up_fraction).clamp(1.0, self.max_multiple);
         (warm_up_fraction * multiple).min(1.0)
     }
 
-    /// The fraction of its range beyond which requests are rejected although no other server relieves a
-    /// server of this warm-up fraction; it would be overloaded. No bound for a warm one.
+    /// Fraction of its range beyond which requests are rejected even if no other server relieves a server
+    /// of this warm-up fraction, because it would be overloaded. Infinite for a warm server.
     pub(crate) fn max_range_fraction(&self, warm_up_fraction: f64) -> f64 {
         if warm_up_fraction >= 1.0 {
             return f64::INFINITY;
@@ -218,7 +231,8 @@
 }
 
 impl Balancer {
-    /// Updates the mean of the fleet if that is due. An arrival does so before it is placed.
+    /// Updates the mean warm-up fraction of the fleet if it is stale. Called for each arrival before its
+    /// server is selected.
     pub(crate) fn update_slow_start(&mut self, now: Micros) {
         if !self.slow_start.is_mean_stale(now) {
             return;
@@ -228,21 +242,21 @@
         self.slow_start.update_mean(now, fractions.into_iter());
     }
 
-    /// The least fraction of its capacity that a server has now.
+    /// Minimum fraction of its capacity that a server has now.
     pub(crate) fn warm_up_fraction(&self, now: Micros, server: &Server) -> f64 {
         self.slow_start.warm_up_fraction(server.started(now), now)
     }
 
-    /// The fraction of its range that a server can take as far as it is warm.
+    /// Fraction of its range that a server can take, going by its warm-up alone.
     pub(crate) fn warm_range_fraction(&self, now: Micros, server: &Server) -> f64 {
         self.slow_start
             .range_fraction(self.warm_up_fraction(now, server))
     }
 
-    /// This node's quota of first attempts at a server of the partition, while that one warms up.
+    /// This node's quota of first attempts to a server of the partition while that server warms up.
     fn slow_start_quota(&self, now: Micros, index: usize) -> f64 {
         let warm_up_fraction = self.warm_up_fraction(now, &self.partition.servers[index]);
-        // Of a kind that is slower than the average one, it can do less by as much.
+        // A server of a kind slower than average can do proportionally less.
         let mean = self.weights.iter().sum::<f64>() / self.weights.len().max(1) as f64;
         let relative_speed = self
             .weights
@@ -253,9 +267,10 @@
             .quota(warm_up_fraction * relative_speed, now, servers)
     }
 
-    /// Whether a request at this distance from the middle of its range is within what a server that warms up
-    /// is given, and this node may send it one more attempt. Where each node sends it less than one, nodes
-    /// agree on who sends it one, whatever its key.
+    /// Whether a request at this distance from the middle of its range is within the fraction of the range
+    /// that a warming server is given, and this node may send that server one more attempt. If the quota of
+    /// this node is below one, the distance does not count: the slots decide which nodes may send, and all
+    /// nodes agree on them, whatever the key.
     pub(crate) fn is_within_slow_start(
         &self,
         now: Micros,
--- a/crates/decision/src/slow_start_tests.rs
+++ b/crates/decision/src/slow_start_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
-fn slow_start(mean_warm_up: f64) -> SlowStart {
+fn slow_start(mean_warm_up_fraction: f64) -> SlowStart {
     SlowStart {
         warm_up_time: 24_000_000,
         cold_capacity: 0.13,
         max_multiple: MAX_OVERLOAD_FRACTION * 2.5,
-        mean_warm_up,
+        mean_warm_up_fraction,
         mean_updated: None,
         overload_window: 2_000_000,
         overload_multiple: 2.5,
@@ -16,7 +16,7 @@
     }
 }
 
-fn range_fraction_beside(cold: usize, warm: usize) -> f64 {
+fn range_fraction_in_fleet(cold: usize, warm: usize) -> f64 {
     let mut slow_start = slow_start(1.0);
     let warm_up = slow_start.warm_up_fraction(Some(0), 6_000_000);
     slow_start.update_mean(
@@ -26,19 +26,22 @@
     slow_start.range_fraction(warm_up)
 }
 
-// Guards against the few warm servers of a fleet being left with all requests while most are cold.
+// Guards against leaving all requests to the few warm servers of a fleet while most servers are cold.
 #[test]
-fn servers_that_warm_up_take_as_much_of_their_capacity_as_warm_ones() {
+fn warming_servers_are_loaded_to_the_same_fraction_of_capacity_as_warm_ones() {
     let (alone, half, most) = (
-        range_fraction_beside(1, 59),
-        range_fraction_beside(36, 24),
-        range_fraction_beside(57, 3),
+        range_fraction_in_fleet(1, 59),
+        range_fraction_in_fleet(36, 24),
+        range_fraction_in_fleet(57, 3),
     );
-    let able = 0.13 + 0.87 / 4.0;
-    assert!((alone / able - 1.0).abs() < 0.02, "{alone} beside {able}");
-    let mean = (36.0 * able + 24.0) / 60.0;
-    assert!((half - able / mean).abs() < 1e-9);
-    assert!(most > half && most <= 0.7 * 2.5 * able + 1e-9);
+    let capacity = 0.13 + 0.87 / 4.0;
+    assert!(
+        (alone / capacity - 1.0).abs() < 0.02,
+        "{alone} for a capacity of {capacity}"
+    );
+    let mean = (36.0 * capacity + 24.0) / 60.0;
+    assert!((half - capacity / mean).abs() < 1e-9);
+    assert!(most > half && most <= 0.7 * 2.5 * capacity + 1e-9);
 }
 
 #[test]
@@ -64,13 +67,14 @@
     );
 }
 
-// Seen to fail with a bucket that fills at the rate of the right: it lets twice the right go within a window.
+// Guards against a token bucket that refills at the rate of the quota: it would allow twice the quota
+// within one window.
 #[test]
 fn no_overload_window_holds_more_sends_than_the_quota() {
     let (slow_start, quota) = (slow_start(1.0), 7.0);
     for pause in [0, 100_000, 900_000, 1_999_999, 2_000_000, 5_000_000] {
         let (mut sends, mut sent) = (VecDeque::new(), Vec::new());
-        // Idle for a while, then asked all the time.
+        // Idle during the pause, then under constant demand.
         for now in (0..10_000_000)
             .step_by(50_000)
             .skip_while(|now| *now < pause)
@@ -96,11 +100,11 @@
     }
     let mut sends = VecDeque::new();
     (0..1_000).for_each(|now| slow_start.record_send(&mut sends, None, now));
-    assert!(sends.is_empty(), "a warm one uses up nothing");
+    assert!(sends.is_empty(), "a warm server uses no quota");
 }
 
 #[test]
-fn empty_fleet_and_single_server_are_no_special_case() {
+fn range_fraction_stays_within_its_bounds_for_an_empty_fleet_and_a_single_server() {
     let mut slow_start = slow_start(1.0);
     slow_start.update_mean(0, std::iter::empty());
     assert_eq!(slow_start.range_fraction(0.5), 0.5);
@@ -109,18 +113,18 @@
     assert!(slow_start.range_fraction(0.13) <= 0.7 * 2.5 * 0.13 + 1e-9);
 }
 
-/// Nodes of one fleet, by their numbers, and which of them may send how many to a server in some slot.
+/// The slow-start states of the nodes of one fleet, by node number.
 fn nodes(number: u64) -> Vec<SlowStart> {
-    let place = |n: u64| (n as f64 * GOLDEN_RATIO).fract();
+    let phase_of = |n: u64| (n as f64 * GOLDEN_RATIO).fract();
     (0..number)
         .map(|n| SlowStart {
-            phase: place(n),
+            phase: phase_of(n),
             ..slow_start(1.0)
         })
         .collect()
 }
 
-// Guards against draws in place of the circle, by which the sum scatters by its root.
+// Guards against random draws instead of evenly spread phases: the sum would deviate by its square root.
 #[test]
 fn quotas_in_a_slot_of_any_number_of_nodes_add_up_to_their_quotas() {
     for number in [3, 20, 30, 100, 300] {
@@ -133,9 +137,9 @@
                     .iter()
                     .map(|node| node.quota_in_slot(quota, order, Some(0), now))
                     .sum();
-                let off = sum - quota * number as f64;
+                let deviation = sum - quota * number as f64;
                 assert!(
-                    off.abs() <= 2.0,
+                    deviation.abs() <= 2.0,
                     "{sum} of {quota} at each of {number}, slot {slot} of {case}"
                 );
             }
@@ -143,10 +147,10 @@
     }
 }
 
-// Seen to fail where each node may send one, whatever its right. Guards against two slots that meet in a
-// window, too.
+// Guards against a limit of one attempt for each node regardless of its quota, and against attempts of two
+// slots within one overload window.
 #[test]
-fn nodes_that_always_have_a_request_send_their_quotas_in_any_window_and_no_more() {
+fn nodes_under_constant_demand_use_their_quotas_and_exceed_the_sum_in_no_window() {
     let (nodes, quota, step) = (nodes(300), 0.1, 250_000);
     for order in (0..6).map(mix) {
         let mut sends = vec![VecDeque::new(); nodes.len()];
@@ -167,7 +171,7 @@
                 .count();
             assert!(
                 within <= 32,
-                "{within} within the time to a fall, from {from}"
+                "{within} attempts within the overload window from {from}"
             );
         }
         assert!(sent.len() > 250, "{} in 23 s", sent.len());
@@ -175,16 +179,20 @@
 }
 
 #[test]
-fn every_node_owns_slots_at_some_servers_and_none_at_all() {
+fn every_node_owns_slots_at_some_but_not_all_servers() {
     for node in nodes(30) {
-        let turns = (0..300)
+        let owned_slots = (0..300)
             .filter(|n| node.quota_in_slot(0.2, mix(*n), Some(0), 0) > 0.0)
             .count();
-        assert!((30..=90).contains(&turns), "{turns} of 300 servers");
+        assert!(
+            (30..=90).contains(&owned_slots),
+            "{owned_slots} of 300 servers"
+        );
     }
 }
 
-/// Nodes that share a cold server's quota must agree on whose phase and slot it is, also across versions.
+/// Nodes that share the quota of a cold server must agree on phases and slots, even if their program
+/// versions differ.
 #[test]
 fn phases_of_numbered_nodes_are_stable() {
     let expected = [
--- a/crates/decision/src/zone_health.rs
+++ b/crates/decision/src/zone_health.rs
@@ -1,14 +1,14 @@
-//! Zone health: servers that fail together, since a zone that is lost takes all of its servers with it at
-//! once.
+//! Zone health: detects that a whole zone is unreachable. A zone that is lost takes all of its servers with
+//! it at once.
 //!
-//! A node with few requests meets each server once in some seconds; to detect one by one that a whole zone is
-//! unreachable would cost it a request and a wait for each, and again at the end of each one's ejection. Here
-//! it is detected after the third.
+//! A node with little traffic sends to each server only once in a few seconds. To detect the servers of a
+//! lost zone one by one would cost it a request and a wait for each, and again at the end of each ejection.
+//! Here the loss is detected after the third server.
 //!
-//! Guarantees: no zone counts as lost while one of its servers answers; it takes `MIN_SERVERS` different
-//! servers in a row of which none was reached; the last zone is never lost. While one is lost, one of its
-//! servers is probed after a backoff that doubles up to `MAX_BACKOFF`, whatever the traffic. No clock: time
-//! is an argument.
+//! Guarantees: a zone does not count as lost while one of its servers responds; it takes `MIN_SERVERS`
+//! different servers in a row of which none was reached; the last zone is never lost. While a zone is lost,
+//! one of its servers is probed after a backoff that doubles up to `MAX_BACKOFF`, regardless of the
+//! traffic. No clock: time is an argument.
 
 use crate::api::{Action, Actions, Micros, ServerId, Status};
 use crate::balancer::Balancer;
@@ -16,43 +16,47 @@
 use crate::server_health::Server;
 use crate::timer_token::TimerToken;
 
-/// Different servers that must fail in a row.
+/// Number of different servers that must be unreachable in a row before a zone counts as lost.
 const MIN_SERVERS: usize = 3;
-/// Log odds against chance at which a zone is lost: one in a thousand.
+/// Log odds against chance at which a zone counts as lost: one in a thousand.
 const LOST_LOG_ODDS: f64 = 6.9;
-/// Evidence of a connection that is not established (that happens one time in ten at most), and of silence.
+/// Evidence, as log odds, of a connection that cannot be established (by chance one time in ten at most),
+/// and of an attempt that has exceeded its expected latency.
 pub(crate) const CONNECT_FAILED_EVIDENCE: f64 = 2.31;
 pub(crate) const SILENCE_EVIDENCE: f64 = 1.2;
-/// First and longest time between two probes of a lost zone.
+/// Initial and maximum time between two probes of a lost zone, in microseconds.
 const MIN_BACKOFF: Micros = 500_000;
 const MAX_BACKOFF: Micros = 2_000_000;
-/// By when the endpoint list has announced a start. Until then the servers of a zone that was lost are taken
-/// to have started when the zone recovered.
+/// Time in which the endpoint list announces a server's start, in microseconds. Until then the servers of a
+/// zone that was lost are assumed to have started when the zone recovered.
 pub(crate) const RESTART_ANNOUNCED_WITHIN: Micros = 6_000_000;
 
+/// The health of one zone.
 #[derive(Default)]
 struct Zone {
-    /// It has servers in the endpoint list.
+    /// The endpoint list has servers in this zone.
     listed: bool,
-    /// Servers that were not reached since one was, at most [`MIN_SERVERS`].
+    /// Different servers that were not reached since the zone was last reached, at most [`MIN_SERVERS`].
     unreached: Vec<ServerId>,
+    /// Evidence that the zone is unreachable, as log odds against chance.
     log_odds: f64,
-    /// The backoff after the next probe, while the zone is lost.
+    /// Backoff after the next probe. None while the zone is not lost.
     backoff: Option<Micros>,
+    /// When the next probe is due, while the zone is lost.
     next_probe: Micros,
-    /// A timer for the next probe runs. Guards against one more for each time that a zone is lost and
-    /// recovers.
+    /// Whether a timer for the next probe is running. Guards against one more timer each time that the zone
+    /// is lost and recovers.
     timer_set: bool,
 }
 
-/// The zones, by label; servers without one share the first.
+/// The health of all zones, indexed by label; servers without a label share the first entry.
 #[derive(Default)]
 pub(crate) struct ZoneHealth {
     zones: Vec<Zone>,
 }
 
 impl ZoneHealth {
-    /// The zones that have listed servers now.
+    /// Sets which zones have listed servers.
     pub(crate) fn set_listed(&mut self, zones: impl Iterator<Item = Option<u16>>) {
         for zone in &mut self.zones {
             zone.listed = false;
@@ -70,14 +74,15 @@
         &mut self.zones[index]
     }
 
-    /// Whether this zone is lost, and another is not.
+    /// Whether this zone is lost and another listed zone is not.
     pub(crate) fn is_lost(&self, label: Option<u16>) -> bool {
         let lost = |zone: &Zone| zone.backoff.is_some();
         self.zones.get(label_index(label)).is_some_and(lost)
             && self.zones.iter().any(|zone| zone.listed && !lost(zone))
     }
 
-    /// A server of the zone was reached, whatever it answered. True: the zone was lost.
+    /// Records that a server of the zone was reached, whatever its response. Returns whether the zone was
+    /// lost.
     pub(crate) fn record_reached(&mut self, label: Option<u16>) -> bool {
         let zone = self.zone(label);
         zone.unreached.clear();
@@ -85,7 +90,8 @@
         zone.backoff.take().is_some()
     }
 
-    /// A server of the zone was not reached, which is so much evidence. True: the zone is lost from now on.
+    /// Records that a server of the zone was not reached, which adds `evidence` to the log odds. Returns
+    /// whether this made the zone count as lost.
     pub(crate) fn record_unreached(
         &mut self,
         now: Micros,
@@ -109,8 +115,8 @@
         true
     }
 
-    /// Whether a probe of a lost zone is due; if so, the next one is later. `drawn`, from 0 to 1, spreads the
-    /// probes of many nodes.
+    /// Returns whether a probe of a lost zone is due; if so, schedules the next one with a longer backoff.
+    /// `drawn`, a random number from 0 to 1, spreads the probes of many nodes over time.
     pub(crate) fn begin_probe(&mut self, now: Micros, label: Option<u16>, drawn: f64) -> bool {
         let zone = self.zone(label);
         let Some(backoff) = zone.backoff.filter(|_| now >= zone.next_probe) else {
@@ -121,7 +127,8 @@
         true
     }
 
-    /// Until the next probe of a lost zone, if no timer for it runs; one does from now on.
+    /// Returns the delay until the next probe of a lost zone and marks its timer as running. Returns None
+    /// if the zone is not lost or its timer is already running.
     pub(crate) fn schedule_probe(&mut self, now: Micros, label: Option<u16>) -> Option<Micros> {
         let zone = self.zone(label);
         if zone.backoff.is_none() || std::mem::replace(&mut zone.timer_set, true) {
@@ -130,16 +137,17 @@
         Some((zone.next_probe - now).max(0))
     }
 
-    /// The timer for a probe has expired.
+    /// Records that the timer for the next probe has expired.
     pub(crate) fn timer_expired(&mut self, label: Option<u16>) {
         self.zone(label).timer_set = false;
     }
 }
 
 impl Server {
-    /// When it started, as far as is known: a zone that was lost and has recovered has most likely lost its
-    /// caches, and the endpoint list can't have announced it yet. Guards against restarted servers that are
-    /// taken for warm ones.
+    /// When the server started, if known. A zone that was lost and has recovered has most likely lost its
+    /// caches, and the endpoint list cannot have announced the restarts yet; so for
+    /// [`RESTART_ANNOUNCED_WITHIN`] the recovery counts as the start. Guards against treating restarted
+    /// servers as warm.
     pub(crate) fn started(&self, now: Micros) -> Option<Micros> {
         let recovered = self
             .zone_recovered
@@ -149,7 +157,8 @@
 }
 
 impl Balancer {
-    /// What an outcome, or silence (no status), says of the server's zone.
+    /// Updates the health of a server's zone from the outcome of an attempt or a probe. `status` is None
+    /// for an attempt that has exceeded its expected latency without a response.
     pub(crate) fn observe_zone(
         &mut self,
         now: Micros,
@@ -169,7 +178,7 @@
                 .zone_health
                 .record_unreached(now, zone, server, SILENCE_EVIDENCE),
             Some(Status::Ok | Status::Miss | Status::Error | Status::Rejected) => {
-                self.zone_reached(now, server, zone, actions);
+                self.record_zone_reached(now, server, zone, actions);
                 false
             }
             Some(_) => false,
@@ -183,20 +192,21 @@
         }
     }
 
-    /// A server of the zone answered; if the zone was lost, it has recovered.
-    fn zone_reached(
+    /// Records that a server of the zone responded, which readmits the zone if it was lost.
+    fn record_zone_reached(
         &mut self,
         now: Micros,
         server: &ServerId,
         zone: Option<u16>,
         actions: &mut Actions,
     ) {
-        // Where no other zone is left, its servers are sent requests as before: none of them was unreachable.
+        // Without another zone the servers were still sent requests, so none of them counts as having been
+        // unreachable and restarted.
         let recovered = self.zone_health.is_lost(zone).then_some(now);
         if !self.zone_health.record_reached(zone) {
             return;
         }
-        // The evidence against the servers was the zone's.
+        // The evidence against the servers was caused by their zone.
         let partition = self.partition_of(server);
         for server in partition
             .servers
@@ -213,6 +223,7 @@
         );
     }
 
+    /// Sets the timer for the next probe of a lost zone, unless it is running.
     fn schedule_zone_probe(&mut self, now: Micros, zone: Option<u16>, actions: &mut Actions) {
         if let Some(delay) = self.zone_health.schedule_probe(now, zone) {
             actions.push(Action::SetTimer {
@@ -222,8 +233,8 @@
         }
     }
 
-    /// Finds out whether a lost zone has recovered: one of its servers is probed, where that is allowed; else
-    /// the next request for it finds out.
+    /// Handles the probe timer of a lost zone. Probes one of its servers; where probes are not allowed,
+    /// readmits the zone, so that the next request shows whether it has recovered.
     pub(crate) fn probe_zone(&mut self, now: Micros, zone: Option<u16>, actions: &mut Actions) {
         self.zone_health.timer_expired(zone);
         let drawn = self.rng.next_unit();
@@ -244,7 +255,7 @@
         self.schedule_zone_probe(now, zone, actions);
     }
 
-    /// Takes a lost zone for recovered, since nothing but a request can find out.
+    /// Treats a lost zone as recovered, since only a request can show whether it has.
     fn readmit_zone(&mut self, now: Micros, zone: Option<u16>) {
         let recovered = self.zone_health.is_lost(zone).then_some(now);
         self.zone_health.record_reached(zone);
@@ -259,7 +270,7 @@
     }
 }
 
-/// A zone's number for the log; "none" for servers without one.
+/// The label of a zone for the log; "none" for servers without one.
 fn zone_label(zone: Option<u16>) -> String {
     zone.map_or_else(|| "none".to_string(), |zone| zone.to_string())
 }
--- a/crates/decision/src/zone_health_tests.rs
+++ b/crates/decision/src/zone_health_tests.rs
@@ -4,11 +4,11 @@
 use crate::api::{Endpoint, EndpointListKind, Event};
 use crate::test_support::{entry, node, send_request};
 
-fn id(n: usize) -> ServerId {
+fn server_id(n: usize) -> ServerId {
     format!("s{n}").into()
 }
 
-fn two() -> ZoneHealth {
+fn two_zones() -> ZoneHealth {
     let mut zone_health = ZoneHealth::default();
     zone_health.set_listed([Some(0), Some(1)].into_iter());
     zone_health
@@ -16,11 +16,11 @@
 
 #[test]
 fn zone_is_lost_after_three_unreached_servers_and_recovers_with_one_answer() {
-    let mut zone_health = two();
-    assert!(!zone_health.record_unreached(0, Some(1), &id(1), CONNECT_FAILED_EVIDENCE));
-    assert!(!zone_health.record_unreached(0, Some(1), &id(2), CONNECT_FAILED_EVIDENCE));
+    let mut zone_health = two_zones();
+    assert!(!zone_health.record_unreached(0, Some(1), &server_id(1), CONNECT_FAILED_EVIDENCE));
+    assert!(!zone_health.record_unreached(0, Some(1), &server_id(2), CONNECT_FAILED_EVIDENCE));
     assert!(
-        zone_health.record_unreached(0, Some(1), &id(3), CONNECT_FAILED_EVIDENCE)
+        zone_health.record_unreached(0, Some(1), &server_id(3), CONNECT_FAILED_EVIDENCE)
             && zone_health.is_lost(Some(1))
             && !zone_health.is_lost(Some(0))
     );
@@ -28,31 +28,36 @@
 }
 
 #[test]
-fn one_server_never_loses_a_zone_and_an_answer_between_clears_the_count() {
-    let mut zone_health = two();
+fn zone_is_not_lost_by_one_server_or_with_responses_in_between() {
+    let mut zone_health = two_zones();
     for _ in 0..50 {
-        assert!(!zone_health.record_unreached(0, Some(1), &id(1), CONNECT_FAILED_EVIDENCE));
+        assert!(!zone_health.record_unreached(0, Some(1), &server_id(1), CONNECT_FAILED_EVIDENCE));
     }
     for n in 0..50 {
-        assert!(!zone_health.record_unreached(0, Some(0), &id(n), CONNECT_FAILED_EVIDENCE));
-        assert!(!zone_health.record_unreached(0, Some(0), &id(n + 1), CONNECT_FAILED_EVIDENCE));
+        assert!(!zone_health.record_unreached(0, Some(0), &server_id(n), CONNECT_FAILED_EVIDENCE));
+        assert!(!zone_health.record_unreached(
+            0,
+            Some(0),
+            &server_id(n + 1),
+            CONNECT_FAILED_EVIDENCE
+        ));
         assert!(!zone_health.record_reached(Some(0)));
     }
 }
 
 #[test]
-fn answer_clears_both_the_servers_and_the_evidence() {
-    let mut zone_health = two();
-    zone_health.record_unreached(0, Some(1), &id(1), CONNECT_FAILED_EVIDENCE);
-    zone_health.record_unreached(0, Some(1), &id(2), CONNECT_FAILED_EVIDENCE);
+fn response_clears_the_unreached_servers_and_the_evidence() {
+    let mut zone_health = two_zones();
+    zone_health.record_unreached(0, Some(1), &server_id(1), CONNECT_FAILED_EVIDENCE);
+    zone_health.record_unreached(0, Some(1), &server_id(2), CONNECT_FAILED_EVIDENCE);
     zone_health.record_reached(Some(1));
     for _ in 0..9 {
-        assert!(!zone_health.record_unreached(0, Some(1), &id(3), CONNECT_FAILED_EVIDENCE));
+        assert!(!zone_health.record_unreached(0, Some(1), &server_id(3), CONNECT_FAILED_EVIDENCE));
     }
     zone_health.record_reached(Some(1));
     assert!(
-        (0..3).all(|n| !zone_health.record_unreached(0, Some(1), &id(n), SILENCE_EVIDENCE)),
-        "silence says less"
+        (0..3).all(|n| !zone_health.record_unreached(0, Some(1), &server_id(n), SILENCE_EVIDENCE)),
+        "silence is weaker evidence"
     );
 }
 
@@ -61,23 +66,23 @@
     let mut zone_health = ZoneHealth::default();
     zone_health.set_listed([None].into_iter());
     for n in 0..9 {
-        zone_health.record_unreached(0, None, &id(n), CONNECT_FAILED_EVIDENCE);
+        zone_health.record_unreached(0, None, &server_id(n), CONNECT_FAILED_EVIDENCE);
     }
     assert!(!zone_health.is_lost(None));
-    let mut zone_health = two();
+    let mut zone_health = two_zones();
     for zone in 0..2 {
         (0..9).for_each(|n| {
-            zone_health.record_unreached(0, Some(zone), &id(n), CONNECT_FAILED_EVIDENCE);
+            zone_health.record_unreached(0, Some(zone), &server_id(n), CONNECT_FAILED_EVIDENCE);
         });
     }
     assert!(!zone_health.is_lost(Some(0)) && !zone_health.is_lost(Some(1)));
 }
 
 #[test]
-fn probes_come_rarely_and_never_end() {
-    let mut zone_health = two();
+fn lost_zone_is_probed_about_every_two_seconds_for_as_long_as_it_is_lost() {
+    let mut zone_health = two_zones();
     (0..3).for_each(|n| {
-        zone_health.record_unreached(0, Some(1), &id(n), CONNECT_FAILED_EVIDENCE);
+        zone_health.record_unreached(0, Some(1), &server_id(n), CONNECT_FAILED_EVIDENCE);
     });
     let (mut probes_begun, mut now) = (0, 0);
     while now < 60_000_000 {
@@ -92,22 +97,22 @@
     }
     assert!(
         (30..=35).contains(&probes_begun),
-        "{probes_begun} looks in a minute"
+        "{probes_begun} probes in a minute"
     );
     assert_eq!(zone_health.schedule_probe(now, Some(0)), None);
 }
 
-/// One sound server in a bad zone brings it back whenever it is the one that is asked; the others must not
-/// cost a request each time they are met.
+/// A lost zone with one healthy server is readmitted whenever that server is the one that is probed. The
+/// unreachable servers must not cost a request each time they are selected.
 #[test]
 fn lost_zone_with_one_healthy_server_costs_few_requests() {
     const SERVERS: usize = 36;
-    let (mut zone_health, mut rng) = (two(), crate::rng::Rng(7));
-    let (mut met, mut failed) = (0, 0);
+    let (mut zone_health, mut rng) = (two_zones(), crate::rng::Rng(7));
+    let (mut sent, mut failed) = (0, 0);
     for step in 0..600 {
         let now = step * 100_000;
         let mut draw = || (rng.next_unit() * SERVERS as f64) as usize;
-        let (probed, asked) = (draw(), draw());
+        let (probed, selected) = (draw(), draw());
         let probes_begun = zone_health.begin_probe(now, Some(1), 0.5);
         if probes_begun && probed == 0 {
             zone_health.record_reached(Some(1));
@@ -115,17 +120,22 @@
         if zone_health.is_lost(Some(1)) {
             continue;
         }
-        met += 1;
-        if asked == 0 {
+        sent += 1;
+        if selected == 0 {
             zone_health.record_reached(Some(1));
         } else {
             failed += 1;
-            zone_health.record_unreached(now, Some(1), &id(asked), CONNECT_FAILED_EVIDENCE);
+            zone_health.record_unreached(
+                now,
+                Some(1),
+                &server_id(selected),
+                CONNECT_FAILED_EVIDENCE,
+            );
         }
     }
     assert!(
-        met > 0 && failed < 60,
-        "{failed} of 600 requests were lost to the zone"
+        sent > 0 && failed < 60,
+        "{failed} of 600 requests failed in the lost zone"
     );
 }
 
@@ -133,16 +143,17 @@
     matches!(TimerToken::from(token), TimerToken::ZoneProbe(_))
 }
 
-/// A lost zone cost a request and a wait for each of its servers, and again after each one's ejection.
+/// Guards against a lost zone that costs a request and a wait for each of its servers, and again after each
+/// ejection.
 #[test]
-fn lost_zone_gets_nothing_after_three_of_its_servers_and_one_probe_readmits_it() {
+fn lost_zone_gets_no_requests_after_three_servers_and_is_readmitted_by_one_probe() {
     let mut node = node(0.0, 40);
     node.settings.probes = true;
-    let odd = |server: &ServerId| server[1..].parse::<u32>().unwrap() % 2 == 1;
-    let (mut tried, mut actions) = (std::collections::HashSet::new(), Vec::new());
+    let in_zone_1 = |server: &ServerId| server[1..].parse::<u32>().unwrap() % 2 == 1;
+    let (mut tried, mut actions) = (HashSet::new(), Vec::new());
     for n in 0..200 {
         let now = i64::from(n) * 1000;
-        let Some(server) = send_request(&mut node, now, n).filter(odd) else {
+        let Some(server) = send_request(&mut node, now, n).filter(in_zone_1) else {
             continue;
         };
         tried.insert(server.clone());
@@ -158,60 +169,54 @@
     let (token, delay) = timer(&actions).unwrap();
     actions.clear();
     node.handle(200_000 + delay, Event::TimerExpired(token), &mut actions);
-    let asked = actions.iter().find_map(|a| match a {
+    let probed = actions.iter().find_map(|a| match a {
         Action::Probe(server) => Some(server.clone()),
         _ => None,
     });
-    let asked = asked
-        .filter(odd)
-        .expect("a server of the lost zone is asked");
-    assert!(timer(&actions).is_some(), "and again later");
-    let probed = Event::ProbeEnded {
-        server: asked,
+    let probed = probed
+        .filter(in_zone_1)
+        .expect("a server of the lost zone is probed");
+    assert!(timer(&actions).is_some(), "the next probe is scheduled");
+    let probe_ended = Event::ProbeEnded {
+        server: probed,
         latency: 1000,
         status: Status::Ok,
         load: None,
     };
-    node.handle(2_000_000, probed, &mut actions);
+    node.handle(2_000_000, probe_ended, &mut actions);
     // By then the endpoint list has announced whether the servers restarted.
     let now = 2_000_000 + RESTART_ANNOUNCED_WITHIN;
-    let again = (1000..1200)
+    let sent = (1000..1200)
         .filter_map(|n| send_request(&mut node, now, n))
-        .filter(odd)
+        .filter(in_zone_1)
         .count();
-    assert!(
-        again > 60,
-        "{again} of 200 go to the zone that answers again"
-    );
+    assert!(sent > 60, "{sent} of 200 go to the recovered zone");
 }
 
-/// Another process runs at the address of each lost server; nodes sent it as much as the one before until the
-/// endpoint list announced the start. The zone recovers by a probe, or by a request where probes are not
-/// allowed.
+/// Guards against an overload after a zone loss: another process runs at the address of each lost server,
+/// and nodes sent it as much as its predecessor until the endpoint list announced the start. The zone
+/// recovers by a probe, or by a request where probes are not allowed.
 #[test]
-fn recovered_zone_counts_as_just_started() {
+fn servers_of_a_recovered_zone_count_as_just_started() {
     for probes in [true, false] {
         let (mut node, now) = node_with_recovered_zone(probes);
         let sent = sends_by_server(&mut node, now, 1000..3000);
         let (settings, all) = (&node.settings, f64::from(2000 + 200));
-        let budget = settings.overload_multiple * settings.cold_capacity * all / 40.0;
+        let limit = settings.overload_multiple * settings.cold_capacity * all / 40.0;
         let most = sent.values().copied().fold(0.0, f64::max);
         assert!(
-            !sent.is_empty() && most <= budget + 1.0,
-            "{most} at once, {budget} allowed"
+            !sent.is_empty() && most <= limit + 1.0,
+            "{most} attempts at one server, {limit} allowed"
         );
-        // No start was announced: the caches are as they were.
+        // Since no start was announced, the caches count as warm.
         let later = now + RESTART_ANNOUNCED_WITHIN;
-        let again: f64 = sends_by_server(&mut node, later, 4000..4200).values().sum();
-        assert!(
-            again > 60.0,
-            "{again} of 200 go to the zone that answers again"
-        );
+        let sent: f64 = sends_by_server(&mut node, later, 4000..4200).values().sum();
+        assert!(sent > 60.0, "{sent} of 200 go to the recovered zone");
     }
 }
 
-/// Whether a server stands in zone 1.
-fn is_odd(server: &ServerId) -> bool {
+/// Whether a server belongs to zone 1: those with odd numbers do.
+fn is_in_zone_1(server: &ServerId) -> bool {
     server[1..].parse::<u32>().unwrap() % 2 == 1
 }
 
@@ -224,7 +229,7 @@
     let mut sent = HashMap::new();
     for server in keys
         .filter_map(|n| send_request(node, now, n))
-        .filter(is_odd)
+        .filter(is_in_zone_1)
     {
         *sent.entry(server).or_insert(0.0) += 1.0;
     }
@@ -238,14 +243,14 @@
     let mut actions = Vec::new();
     for n in 0..200 {
         let now = i64::from(n) * 1000;
-        let Some(server) = send_request(&mut node, now, n).filter(is_odd) else {
+        let Some(server) = send_request(&mut node, now, n).filter(is_in_zone_1) else {
             continue;
         };
         node.observe_server(now, &server, Some(Status::ConnectFailed), &mut actions);
     }
     assert!(
         node.zone_health.is_lost(Some(1)),
-        "and not the other: {}",
+        "zone 1 is lost; zone 0 is not: {}",
         !node.zone_health.is_lost(Some(0))
     );
     let (token, delay) = zone_probe_timers(&actions)[0];
@@ -257,13 +262,13 @@
         _ => None,
     });
     if let Some(server) = probed {
-        let answered = Event::ProbeEnded {
+        let probe_ended = Event::ProbeEnded {
             server,
             latency: 1000,
             status: Status::Ok,
             load: None,
         };
-        node.handle(now, answered, &mut actions);
+        node.handle(now, probe_ended, &mut actions);
     }
     assert!(!node.zone_health.is_lost(Some(1)));
     (node, now)
@@ -278,10 +283,11 @@
     actions.iter().filter_map(of_zone).collect()
 }
 
-/// Some servers of a fleet without zones fell silent; the first answer of any other made the whole fleet
-/// count as just started for 6 s (0.88 of a day served, then 0.70, where a fifth of the servers vanished).
+/// Guards against a whole fleet that counts as just started: some servers of a fleet without zones fell
+/// silent, and the first response of any other server made all of them count as just started for 6 s. Where
+/// a fifth of the servers vanished, the served fraction of the requests fell from 0.88 to 0.70.
 #[test]
-fn only_zone_does_not_count_as_just_started_when_it_answers() {
+fn servers_of_the_only_zone_do_not_count_as_just_started_when_one_responds() {
     for (probes, zone) in [
         (true, None),
         (true, Some(0)),
@@ -307,18 +313,18 @@
         }
         assert!(
             silent.len() >= 3,
-            "as many as make a zone count as lost: {silent:?}"
+            "enough for a zone to count as lost: {silent:?}"
         );
-        let planned = zone_probe_timers(&actions);
-        assert!(!planned.is_empty(), "it is probed");
-        for (token, delay) in planned {
+        let timers = zone_probe_timers(&actions);
+        assert!(!timers.is_empty(), "the zone is to be probed");
+        for (token, delay) in timers {
             node.handle(40_000 + delay, Event::TimerExpired(token), &mut actions);
         }
         let servers = node.partition.servers.iter();
         let mut ids = servers.map(|s| s.entry.server.clone());
         let other = ids
             .find(|id| !silent.contains(id))
-            .expect("one that is reached");
+            .expect("a server that responds");
         node.observe_server(3_000_000, &other, Some(Status::Ok), &mut actions);
         let cold = node
             .partition
