--- a/crates/decision/src/origin_health.rs
+++ b/crates/decision/src/origin_health.rs
@@ -1,16 +1,18 @@
-//! The health of the origin behind the cache servers, as this node sees it, and which requests it lets
-//! through to it.
+//! Origin health: this node's estimate of the health of the origin behind the cache servers, and the
+//! admission of requests that may need the origin.
 //!
-//! Two signals. *Overload*: hardly any fetch is answered in time ([`sloewick_overload::OverloadDetector`],
-//! pooled over all servers, so that a node with little traffic detects it within two seconds). And *failing
-//! servers*: requests for recently served keys fail at the median server, whatever the reason. During an
-//! overload a part of what may need the origin is rejected at once, the remaining fetches are left to their
-//! servers, and no attempt is repeated; while servers fail, keys not served recently are let through rarely,
-//! recently served keys and writes longer.
+//! There are two signals:
+//! - *Overload*: hardly any fetch is answered in time. [`sloewick_overload::OverloadDetector`] pools the
+//!   outcomes of all servers, so that a node with little traffic detects an overload within two seconds.
+//!   During an overload a fraction of the requests that may need the origin is rejected at once, the
+//!   remaining fetches are left to their servers, and no attempt is retried.
+//! - *Failing servers*: requests for recently served keys fail at the median server, whatever the reason.
+//!   While servers fail, few requests for keys not served recently are admitted; the admission of recently
+//!   served keys and of writes is reduced less.
 //!
-//! Guarantees: while servers fail and there is no overload, a request for an unknown key is let through once
-//! in a deadline at least; during an overload a fraction that is never zero. So the end of either is
-//! detected. No clock and no random numbers of its own.
+//! Guarantees: while servers fail without an overload, at least one request for a key not served recently
+//! is admitted in each deadline; during an overload the admitted fraction is never zero. So the end of
+//! either state is detected. No clock and no random numbers of its own.
 
 use sloewick_overload::{AdmissionRamp, Outcome, OverloadDetector, RequestKind};
 
@@ -18,31 +20,34 @@
 use crate::balancer::Balancer;
 use crate::server_health::{AttemptEvidence, Server};
 
-/// Admitted fraction: its fall with each failed attempt, its rise with each answer, its minimum. In balance
-/// about one attempt in six fails.
+/// Admitted fraction: by which fraction it falls with each failed attempt, by how much it rises with each
+/// response, and its minimum. In equilibrium about one attempt in six fails. The timely fraction of a
+/// server falls and rises by the same steps.
 pub(crate) const FALL_FRACTION: f64 = 0.05;
 pub(crate) const RISE_STEP: f64 = 0.01;
 pub(crate) const MIN_ADMITTED_FRACTION: f64 = 0.002;
-/// Failing fraction for recently served keys above which failed fetches are attributed to the origin.
+/// Failing fraction of attempts for recently served keys, at the median server, above which failed fetches
+/// are attributed to the origin.
 const MAX_CACHED_FAILURE_FRACTION: f64 = 0.1;
-/// Attempts for recently served keys over which the fraction of answered ones is averaged.
-const CACHED_SPAN: f64 = 32.0;
+/// Time constant of the moving average of answered attempts for recently served keys, in attempts.
+const CACHED_AVERAGING_SPAN: f64 = 32.0;
 
-/// See the module.
+/// Health of the origin; see the module documentation.
 pub(crate) struct OriginHealth {
     mode: CacheMode,
     detector: OverloadDetector,
     ramp: AdmissionRamp,
-    /// Fraction of attempts for recently served keys that were answered. During an overload writes invalidate
-    /// them one by one.
+    /// Moving average of the fraction of attempts for recently served keys that were answered. It falls
+    /// during an overload, when writes invalidate the cached keys one by one.
     cached_success_fraction: f64,
-    /// Fraction of requests for unknown keys that is let through, and when the last one was.
+    /// Fraction of the requests for keys not served recently that is admitted.
     pub(crate) admitted_fraction: f64,
+    /// When a request for a key not served recently was last admitted.
     last_admitted: Micros,
 }
 
 impl OriginHealth {
-    /// An origin that is healthy.
+    /// The state of a healthy origin.
     pub(crate) fn new(mode: CacheMode, now: Micros) -> OriginHealth {
         OriginHealth {
             mode,
@@ -54,18 +59,18 @@
         }
     }
 
-    /// Whether a request of this kind needs the origin, and the origin is overloaded.
+    /// Whether the origin is overloaded and requests of this kind may need it.
     pub(crate) fn is_overloaded_for(&self, now: Micros, kind: RequestKind) -> bool {
         kind != RequestKind::LikelyCached && self.detector.is_overloaded(now)
     }
 
-    /// Whether a hedged request may only add to what keeps the origin from answering: it is or may be
-    /// overloaded.
+    /// Whether the origin is or may be overloaded, so that a hedged request could only add to the load that
+    /// keeps it from answering.
     pub(crate) fn may_be_overloaded(&self, now: Micros) -> bool {
         self.detector.may_be_overloaded(now)
     }
 
-    /// An attempt ended so, or was given up without an outcome (no status).
+    /// Records the outcome of an attempt. `status` is None if the attempt was abandoned without an outcome.
     pub(crate) fn record_attempt(
         &mut self,
         now: Micros,
@@ -77,11 +82,12 @@
             status.is_none_or(|s| matches!(s, Status::Ok | Status::Timeout | Status::Rejected));
         if kind == RequestKind::LikelyCached && counted {
             let answered = f64::from(u8::from(status == Some(Status::Ok)));
-            self.cached_success_fraction += (answered - self.cached_success_fraction) / CACHED_SPAN;
+            self.cached_success_fraction +=
+                (answered - self.cached_success_fraction) / CACHED_AVERAGING_SPAN;
         }
         let outcome = match (status, cache_result) {
-            // Beside the caches the origin is requested by the node itself, and a fetch fills no cache by
-            // itself.
+            // In cache-aside mode the node itself sends requests to the origin, and a fetch does not fill a
+            // cache.
             _ if self.mode == CacheMode::CacheAside => return,
             (Some(Status::Ok), _) if kind == RequestKind::Write => Outcome::ServedByOrigin,
             (Some(Status::Ok), Some(CacheResult::Hit)) => Outcome::ServedFromCache,
@@ -93,8 +99,9 @@
         self.detector.record(now, kind, outcome);
     }
 
-    /// Whether a request is rejected at once because the origin is overloaded, or was a moment ago: more than
-    /// it can serve would only keep its queue so long that nothing is answered in time. `drawn`: from 0 to 1.
+    /// Whether a request is rejected at once because the origin is overloaded or was a moment ago: more
+    /// requests than it can serve would only lengthen its queue until nothing is answered in time. `drawn`
+    /// returns a random number from 0 to 1.
     pub(crate) fn sheds(
         &mut self,
         now: Micros,
@@ -111,7 +118,8 @@
         admitted < 1.0 && drawn() >= fraction
     }
 
-    /// Whether a request is let through while servers may be failing. `drawn`: from 0 to 1.
+    /// Whether a request is admitted while servers may be failing. `drawn` returns a random number from 0
+    /// to 1.
     pub(crate) fn admits(
         &mut self,
         now: Micros,
@@ -135,8 +143,9 @@
         admitted
     }
 
-    /// A request for a key not served recently ended. `cached_failures`: failing fraction for recently served
-    /// keys at the median server; a few servers that are slow or broken are not the origin.
+    /// Records the end of a request for a key not served recently. `cached_failures` returns the failing
+    /// fraction for recently served keys at the median server; a few slow or broken servers are not a fault
+    /// of the origin.
     pub(crate) fn record_fetch(&mut self, answered: bool, cached_failures: impl FnOnce() -> f64) {
         if answered {
             self.admitted_fraction = (self.admitted_fraction + RISE_STEP).min(1.0);
@@ -149,8 +158,8 @@
     }
 }
 
-/// Failing fraction of attempts for recently served keys at the median server. An overload behind the origin
-/// holds up all servers; a few that are slow or broken are none.
+/// Failing fraction of attempts for recently served keys at the median server. An overload behind the
+/// servers delays all of them; the median ignores a few that are slow or broken.
 fn median_cached_failures(servers: &[Server]) -> f64 {
     let mut all: Vec<f64> = servers.iter().map(|s| s.failing_fraction).collect();
     let middle = all.len() / 2;
@@ -161,14 +170,14 @@
 }
 
 impl Balancer {
-    /// An attempt for a key not served recently ended: its outcome is evidence of the origin's health.
+    /// Records the outcome of an attempt for a key not served recently as evidence of the origin's health.
     pub(crate) fn record_fetch(&mut self, answered: bool) {
         let servers = &self.partition.servers;
         self.origin_health
             .record_fetch(answered, || median_cached_failures(servers));
     }
 
-    /// What an attempt of a request in flight says of the origin.
+    /// Updates the health of the origin when an attempt of a request in flight ends.
     pub(crate) fn record_origin_evidence(
         &mut self,
         now: Micros,
@@ -180,10 +189,10 @@
             return;
         }
         if evidence.likely_uncached && (status == Status::Ok || evidence.failed) {
-            // A late fetch counts as a failed one: the origin's queue shows before it fails.
+            // A late fetch counts as failed: the queue of the origin delays responses before requests fail.
             self.record_fetch(!evidence.failed && !evidence.past_objective);
         }
-        // A request that fails, however many attempts it has, is one failure.
+        // The failures of a request count once, however many attempts it has.
         if outcome.attempt == 0 || status == Status::Ok {
             self.origin_health.record_attempt(
                 now,
--- a/crates/decision/src/origin_health_tests.rs
+++ b/crates/decision/src/origin_health_tests.rs
@@ -6,7 +6,7 @@
 use crate::timer_token::TimerToken;
 
 #[test]
-fn failing_origin_rejects_unknown_keys_before_recently_served_ones() {
+fn failing_origin_causes_rejection_of_uncached_keys_before_recently_served_ones() {
     let mut node = node(0.0, 8);
     set_failing_fraction(&mut node, 0.5);
     for n in 0..200 {
@@ -17,22 +17,22 @@
     node.recently_served
         .served_at
         .extend((1000..1200).map(|n| (hash(&format!("k{n}")), 0)));
-    let unknown = (500..700)
+    let uncached = (500..700)
         .filter(|n| send_request(&mut node, 300_000, *n).is_some())
         .count();
-    let known = (1000..1200)
+    let recently_served = (1000..1200)
         .filter(|n| send_request(&mut node, 300_000, *n).is_some())
         .count();
     assert!(
-        unknown < 50 && known > 120,
-        "{unknown} unknown, {known} known of 200"
+        uncached < 50 && recently_served > 120,
+        "{uncached} uncached, {recently_served} recently served, sent of 200 each"
     );
 }
 
 #[test]
-fn failed_fetches_alone_lower_no_admission() {
-    // A lone miss may outlast the latency objective by itself: while recently served keys are answered
-    // nothing is rejected for it.
+fn failed_fetches_alone_do_not_lower_the_admitted_fraction() {
+    // A single miss may exceed the latency objective without a fault. While recently served keys are
+    // answered, nothing is rejected because of it.
     let mut node = node(0.0, 8);
     for n in 0..200 {
         let now = i64::from(n) * 1000;
@@ -48,20 +48,20 @@
 }
 
 #[test]
-fn late_fetches_lower_admission_too() {
-    for (took, least, most) in [(100_000, 1.0, 1.0), (400_000, 0.0, 0.5)] {
+fn late_fetches_lower_the_admitted_fraction() {
+    for (latency, least, most) in [(100_000, 1.0, 1.0), (400_000, 0.0, 0.5)] {
         let mut node = node(0.0, 8);
         set_failing_fraction(&mut node, 0.5);
         node.settings.classes[0].late_weight = 0.25;
         for n in 0..100 {
             let now = i64::from(n) * 1000;
             if let Some(server) = send_request(&mut node, now, n) {
-                end_attempt(&mut node, now + took, n, &server, Status::Ok);
+                end_attempt(&mut node, now + latency, n, &server, Status::Ok);
             }
         }
         assert!(
             (least..=most).contains(&node.origin_health.admitted_fraction),
-            "{} after {took}",
+            "{} after {latency}",
             node.origin_health.admitted_fraction
         );
     }
@@ -75,24 +75,23 @@
     let sent = (0..100)
         .filter(|n| send_request(&mut node, 700_000 * i64::from(*n), *n).is_some())
         .count();
-    assert_eq!(sent, 99, "one trial in each longest time");
+    assert_eq!(sent, 99, "one probe in each deadline");
     node.origin_health.admitted_fraction = 1.0;
     let server = send_request(&mut node, 80_000_000, 500).expect("sent");
     end_attempt(&mut node, 80_001_000, 500, &server, Status::Ok);
     assert!(node.recently_served.served_at.contains_key(&hash("k500")));
-    let event = |n: u32| (n, hash("k500"));
-    let (n, key) = event(501);
+    let (n, key) = (501, hash("k500"));
     send_request(&mut node, 80_002_000, n);
-    if let Some(held) = node.in_flight.requests.values_mut().last() {
-        held.key = Some(key);
-        held.likely_uncached = false;
+    if let Some(request) = node.in_flight.requests.values_mut().last() {
+        request.key = Some(key);
+        request.likely_uncached = false;
     }
     end_attempt(&mut node, 80_003_000, n, &server, Status::Error);
     assert!(!node.recently_served.served_at.contains_key(&key));
 }
 
 #[test]
-fn failures_of_a_few_servers_lower_no_admission_and_those_of_all_do() {
+fn failures_of_all_servers_lower_the_admitted_fraction_and_those_of_a_few_do_not() {
     for (failing, lowered) in [(2, false), (8, true)] {
         let mut node = node(0.0, 8);
         node.partition
@@ -112,8 +111,9 @@
     }
 }
 
-/// The actions of a request for a key not served recently, and of its end without an answer.
-fn unanswered(node: &mut Balancer, now: Micros, n: u32) -> (Vec<Action>, Vec<Action>) {
+/// Sends a request for a key that was not served recently and lets it end unanswered; returns the actions
+/// at its arrival and at its end.
+fn send_unanswered(node: &mut Balancer, now: Micros, n: u32) -> (Vec<Action>, Vec<Action>) {
     let (mut sent, mut ended) = (Vec::new(), Vec::new());
     let request = Request {
         id: format!("r{n}").into(),
@@ -133,12 +133,12 @@
 }
 
 // Guards against an overload that outlives its cause: a fetch that is cancelled with its request is dropped
-// by the server, no cache is filled, and every request stays a fetch.
+// by the server, no cache is filled, and each further request becomes a fetch again.
 #[test]
 fn fetch_outlives_its_request_while_the_origin_is_overloaded() {
     let mut node = node(0.0, 8);
     let cancels = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Cancel { .. }));
-    let refused = |actions: &[Action]| {
+    let rejections = |actions: &[Action]| {
         actions
             .iter()
             .filter(|a| matches!(a, Action::Reject { .. }))
@@ -150,10 +150,10 @@
             _ => None,
         })
     };
-    let (sent, ended) = unanswered(&mut node, 0, 0);
-    assert!(cancels(&ended) && refused(&ended) == 1 && timeout(&sent).unwrap() < 150_000);
+    let (sent, ended) = send_unanswered(&mut node, 0, 0);
+    assert!(cancels(&ended) && rejections(&ended) == 1 && timeout(&sent).unwrap() < 150_000);
     let overloaded_at = (1..100).find(|n| {
-        unanswered(&mut node, 150_000 * i64::from(*n), *n);
+        send_unanswered(&mut node, 150_000 * i64::from(*n), *n);
         node.origin_health.is_overloaded_for(
             150_000 * i64::from(*n) + 146_000,
             RequestKind::LikelyUncached,
@@ -163,28 +163,30 @@
         overloaded_at.is_some_and(|n| n > 3),
         "an overload after {overloaded_at:?} requests without an answer"
     );
-    // Most are rejected at once now, with a Retry-After, and a fraction is admitted.
+    // Most requests are now rejected at once, with a Retry-After, and a fraction is admitted.
     let now = 20_000_000;
     (200..220).for_each(|n| {
-        unanswered(&mut node, now - 200_000, n);
+        send_unanswered(&mut node, now - 200_000, n);
     });
-    let all: Vec<_> = (300..400).map(|n| unanswered(&mut node, now, n)).collect();
-    let (through, shed): (Vec<_>, Vec<_>) = all
+    let all: Vec<_> = (300..400)
+        .map(|n| send_unanswered(&mut node, now, n))
+        .collect();
+    let (admitted, shed): (Vec<_>, Vec<_>) = all
         .into_iter()
         .partition(|(sent, _)| timeout(sent).is_some());
     assert!(
-        (10..60).contains(&through.len()),
-        "{} of 100 let through",
-        through.len()
+        (10..60).contains(&admitted.len()),
+        "{} of 100 admitted",
+        admitted.len()
     );
-    assert!(shed.iter().all(|(sent, _)| refused(sent) == 1));
-    let (sent, ended) = &through[0];
+    assert!(shed.iter().all(|(sent, _)| rejections(sent) == 1));
+    let (sent, ended) = &admitted[0];
     assert_eq!(
-        (cancels(ended), refused(ended)),
+        (cancels(ended), rejections(ended)),
         (false, 1),
-        "answered at once, and its fetch goes on"
+        "the request is rejected and its fetch continues"
     );
-    // The client's budget, which is shorter here than the class's deadline.
+    // The timeout is the client's budget, which is shorter here than the deadline of the class.
     assert_eq!(timeout(sent), Some(500_000));
     assert!(
         node.in_flight.requests.is_empty()
@@ -196,7 +198,8 @@
     );
 }
 
-// Guards a node with hardly any traffic: one write that is rejected wherever it goes is no overload.
+// Guards against an overload detected at a node with little traffic because of a single write that every
+// server rejects.
 #[test]
 fn one_request_that_fails_at_many_servers_is_no_overload() {
     let mut node = node(0.0, 8);
@@ -204,10 +207,10 @@
         node.retry_budget.tokens = MAX_TOKENS;
         send_request(&mut node, 1000, n).expect("sent");
         for attempt in 0..4 {
-            let Some(held) = node.in_flight.requests.values().last() else {
+            let Some(request) = node.in_flight.requests.values().last() else {
                 break;
             };
-            let server = held.attempts[attempt].server.clone();
+            let server = request.attempts[attempt].server.clone();
             let event = Event::AttemptEnded(AttemptOutcome {
                 request: format!("r{n}").into(),
                 server,
@@ -222,7 +225,7 @@
                 .requests
                 .values_mut()
                 .last()
-                .expect("held")
+                .expect("request in flight")
                 .request
                 .write = true;
             node.handle(2_000, event, &mut Vec::new());
--- a/crates/decision/src/outlier_detection.rs
+++ b/crates/decision/src/outlier_detection.rs
@@ -1,17 +1,18 @@
-//! Outlier detection: which servers fail by themselves, and which fraction of their keys they retain
-//! meanwhile.
+//! Outlier detection: finds servers that fail more often than the others, and determines the fraction of
+//! their keys that they retain meanwhile.
 //!
-//! Every server is taken to be either healthy or an outlier. How often an attempt fails at a healthy one, how
-//! often at an outlier, and how many are outliers is learned over all servers together (a mixture of two
-//! Bernoulli distributions, its parameters by expectation and maximization as outcomes come; Dempster, Laird
-//! and Rubin 1977, Cappé and Moulines 2009). So a node that sends each server a request in some seconds
-//! detects an outlier after two or three of them: what is usual it has learned from the others.
+//! Every server is modelled as either healthy or an outlier. The failure rates of attempts at healthy
+//! servers and at outliers, and the number of outliers, are learned over all servers together: a mixture of
+//! two Bernoulli distributions, its parameters updated with each outcome by online expectation maximization
+//! (Dempster, Laird and Rubin 1977, Cappé and Moulines 2009). So a node that sends each server a request
+//! once in a few seconds detects an outlier after two or three of them, since it has learned the normal
+//! failure rate from the other servers.
 //!
-//! Guarantees: where half of the servers look like outliers none is ejected, nor where all fail alike; at
-//! most `MAX_EJECTED_FRACTION` of the servers are ejected at a time, the worst first; an ejected server
-//! retains at least `PROBE_FRACTION` of its first attempts, and the evidence against it decays with time.
-//! Records are held for listed servers alone ([`OutlierDetector::retain`]). No clock and no random numbers of
-//! its own: time and draws are arguments.
+//! Guarantees: no server is ejected where half of the servers look like outliers or where all fail alike;
+//! at most `MAX_EJECTED_FRACTION` of the servers are ejected at a time, those with the strongest evidence
+//! first; an ejected server retains at least `PROBE_FRACTION` of its first attempts, and the evidence
+//! against it decays with time. Only listed servers have records ([`OutlierDetector::retain`]). No clock
+//! and no random numbers of its own: time and draws are arguments.
 
 use std::collections::HashMap;
 
@@ -19,35 +20,37 @@
 
 use crate::api::{Micros, ServerId};
 
-/// The time in which evidence decays to 1/e, in microseconds.
+/// Time in which evidence decays to 1/e, in microseconds.
 const DECAY_TIME: f64 = 20e6;
-/// Bounds of the logarithm of the odds of being an outlier. A server that was healthy for long must not need
-/// many failures to be detected, nor an outlier many answers to be trusted again.
+/// Bounds of the log odds of being an outlier. They limit how many failures it takes to detect a server
+/// that has long been healthy, and how many successes it takes to trust an outlier again.
 const MIN_LOG_ODDS: f64 = -4.7;
 const MAX_LOG_ODDS: f64 = 2.0;
-/// Largest evidence of one failure: alone it ejects no server where outliers are few.
+/// Upper bound of the evidence of one failure: where outliers are few, a single failure ejects no server.
 const MAX_EVIDENCE: f64 = 2.0;
-/// Initial failure rates at healthy servers and at outliers, and the number of outcomes that this counts for.
+/// Initial failure rates at healthy servers and at outliers, and the number of outcomes that these initial
+/// rates weigh as much as.
 const INITIAL_HEALTHY_FAILURE_RATE: f64 = 0.1;
 const INITIAL_OUTLIER_FAILURE_RATE: f64 = 0.8;
 const INITIAL_OUTCOMES: f64 = 10.0;
-/// Outcomes over which the failure rates are averaged.
+/// Maximum number of outcomes over which the failure rates are averaged.
 const MAX_OUTCOMES: f64 = 256.0;
-/// Outliers assumed where nothing is known, among so many servers.
+/// Prior assumption: `PRIOR_OUTLIERS` outliers among `PRIOR_SERVERS` servers.
 const PRIOR_OUTLIERS: f64 = 1.0;
 const PRIOR_SERVERS: f64 = 10.0;
-/// Probability of being an outlier above which a server loses keys, and how far above it retains nothing but
-/// probes.
+/// Outlier probability above which a server loses keys, and by how much the probability must exceed it for
+/// the server to retain nothing but probes.
 const EJECTION_THRESHOLD: f64 = 0.5;
 const EJECTION_RAMP: f64 = 0.35;
-/// Fraction of the first attempts for its keys that an ejected server gets to prove itself.
+/// Fraction of the first attempts for its keys that an ejected server still gets, so that its recovery is
+/// detected.
 pub const PROBE_FRACTION: f64 = 0.1;
-/// Largest fraction of the servers that is ejected at a time.
+/// Maximum fraction of the servers that are ejected at a time.
 const MAX_EJECTED_FRACTION: f64 = 1.0 / 3.0;
-/// Outcomes between two evaluations of the whole fleet.
+/// Maximum number of outcomes between two evaluations of all servers.
 const OUTCOMES_PER_EVALUATION: u32 = 8;
 
-/// A failure rate, averaged.
+/// A moving average of failures over at most [`MAX_OUTCOMES`] outcomes.
 struct FailureRate {
     rate: f64,
     outcomes: f64,
@@ -67,7 +70,7 @@
     }
 }
 
-/// Failure rates for one kind of request.
+/// Failure rates of one kind of request, at healthy servers and at outliers.
 struct FailureRates {
     healthy: FailureRate,
     outlier: FailureRate,
@@ -81,44 +84,46 @@
         }
     }
 
-    /// The log likelihood ratio of an outcome: positive for an outlier.
+    /// The log likelihood ratio of an outcome: positive if it is more likely at an outlier.
     fn evidence(&self, failed: bool) -> f64 {
-        // A rate at outliers that is no higher than at healthy servers is no evidence.
-        let low = self.healthy.rate.clamp(0.01, 0.98);
-        let high = self
+        // An outlier rate that is no higher than the healthy rate is raised just above it, and so yields
+        // almost no evidence.
+        let healthy_rate = self.healthy.rate.clamp(0.01, 0.98);
+        let outlier_rate = self
             .outlier
             .rate
             .clamp(0.02, 0.99)
             .max(self.healthy.rate + 0.01);
         if failed {
-            (high / low).ln().min(MAX_EVIDENCE)
+            (outlier_rate / healthy_rate).ln().min(MAX_EVIDENCE)
         } else {
-            ((1.0 - high) / (1.0 - low)).ln()
+            ((1.0 - outlier_rate) / (1.0 - healthy_rate)).ln()
         }
     }
 }
 
-/// Evidence against one server: logarithm of the odds that its outcomes are those of an outlier.
-struct Record {
+/// Evidence against one server as of `updated`: log odds that its outcomes are those of an outlier.
+struct ServerRecord {
     log_odds: f64,
     updated: Micros,
 }
 
-impl Record {
+impl ServerRecord {
     fn decayed_log_odds(&self, now: Micros) -> f64 {
         self.log_odds * (-((now - self.updated).max(0) as f64) / DECAY_TIME).exp()
     }
 }
 
-/// Evidence against all listed servers, and which of them are ejected.
+/// Evidence against all listed servers, and the ejected servers.
 pub struct OutlierDetector {
-    records: HashMap<ServerId, Record>,
-    /// For each [`RequestKind`], since requests that wait for the origin fail more often at every server.
+    records: HashMap<ServerId, ServerRecord>,
+    /// Failure rates by [`RequestKind`], since requests that wait for the origin fail more often at every
+    /// server.
     rates: [FailureRates; 3],
-    /// Logarithm of the odds of being an outlier before any evidence.
+    /// Log odds of being an outlier before any evidence.
     prior_log_odds: f64,
-    /// Ejected servers, with the fraction of their keys that they retain. Bounded by
-    /// `MAX_EJECTED_FRACTION`.
+    /// Ejected servers and the fraction of their keys that each retains. At most `MAX_EJECTED_FRACTION` of
+    /// the servers.
     ejected: HashMap<ServerId, f64>,
     outcomes_since_evaluation: u32,
 }
@@ -150,14 +155,14 @@
         self.ejected.retain(|id, _| listed(id));
     }
 
-    /// Drops the evidence against a server: another process runs there now.
+    /// Drops the evidence against a server because another process has taken its place.
     pub fn reset(&mut self, server: &str) {
         self.records.remove(server);
         self.ejected.remove(server);
     }
 
-    /// Probability that a server is an outlier, as far as its own outcomes say beside a fleet of which
-    /// nothing is known.
+    /// Probability that a server is an outlier, computed from its own outcomes and the prior assumption,
+    /// without what was learned about the fleet. 0 unless there is evidence against it.
     pub fn outlier_probability(&self, now: Micros, server: &str) -> f64 {
         let evidence = self
             .records
@@ -170,21 +175,21 @@
         }
     }
 
-    /// Restores the evidence against a server as of `updated`. Whether it is ejected is decided with the next
-    /// outcomes.
+    /// Restores the evidence against a server as of `updated`. The next recorded outcome decides whether
+    /// the server is ejected.
     pub fn restore(&mut self, updated: Micros, server: &ServerId, outlier_probability: f64) {
         if outlier_probability > 0.0 {
             let evidence = log_odds(outlier_probability.clamp(1e-9, 1.0 - 1e-9))
                 - log_odds(PRIOR_OUTLIERS / PRIOR_SERVERS);
             let log_odds = evidence.clamp(0.0, MAX_LOG_ODDS - MIN_LOG_ODDS);
             self.records
-                .insert(server.clone(), Record { log_odds, updated });
+                .insert(server.clone(), ServerRecord { log_odds, updated });
             self.outcomes_since_evaluation = OUTCOMES_PER_EVALUATION;
         }
     }
 
-    /// An attempt at a server ended by the server's own doing: answered, or failed. `servers`: how many are
-    /// listed.
+    /// Records an outcome that is attributed to the server itself: a response or a failure. `servers`:
+    /// number of listed servers.
     pub fn record(
         &mut self,
         now: Micros,
@@ -194,22 +199,22 @@
         servers: usize,
     ) {
         self.outcomes_since_evaluation = self.outcomes_since_evaluation.saturating_add(1);
-        let initial = || Record {
+        let initial = || ServerRecord {
             log_odds: 0.0,
             updated: now,
         };
         let record = self.records.entry(server.clone()).or_insert_with(initial);
-        let before = record.decayed_log_odds(now);
+        let evidence_before = record.decayed_log_odds(now);
         let rates = &mut self.rates[kind as usize];
-        record.log_odds = (before + rates.evidence(failed)).clamp(
+        record.log_odds = (evidence_before + rates.evidence(failed)).clamp(
             MIN_LOG_ODDS - self.prior_log_odds,
             MAX_LOG_ODDS - self.prior_log_odds,
         );
         record.updated = now;
-        let outlier = probability(self.prior_log_odds + before);
-        let failing = f64::from(u8::from(failed));
-        rates.healthy.record(failing, 1.0 - outlier);
-        rates.outlier.record(failing, outlier);
+        let outlier_probability = probability(self.prior_log_odds + evidence_before);
+        let failure = f64::from(u8::from(failed));
+        rates.healthy.record(failure, 1.0 - outlier_probability);
+        rates.outlier.record(failure, outlier_probability);
         if failed
             || self.outcomes_since_evaluation >= OUTCOMES_PER_EVALUATION
             || self.ejected.contains_key(server)
@@ -218,7 +223,7 @@
         }
     }
 
-    /// Decides anew which of all `servers` that are listed are ejected.
+    /// Determines which servers are ejected. `servers`: number of listed servers.
     fn evaluate(&mut self, now: Micros, servers: usize) {
         self.outcomes_since_evaluation = 0;
         self.ejected.clear();
@@ -235,7 +240,7 @@
             .map(|(evidence, _)| outlier_probability(*evidence))
             .sum();
         let max_ejected = (servers as f64 * MAX_EJECTED_FRACTION) as usize;
-        // What half of them do is not the behaviour of an outlier.
+        // What half of the servers do is normal behaviour.
         if suspects.count() * 2 < servers {
             for (evidence, id) in worst_first.into_iter().take(max_ejected) {
                 let excess = outlier_probability(evidence) - EJECTION_THRESHOLD;
@@ -258,14 +263,15 @@
     }
 }
 
-/// The largest number below 1.
+/// The largest `f64` below 1.
 const MAX_DRAW: f64 = 1.0 - f64::EPSILON / 2.0;
 
-/// The score of a candidate as a key's secondary, by weighted rendezvous hashing (Thaler and Ravishankar; the
-/// logarithmic form for weights): the candidate with the highest is chosen. A weight that changes moves only
-/// keys of its own share. `mixed` is a hash of key and server.
-pub fn rendezvous(mixed: u64, weight: f64) -> f64 {
-    let drawn = ((mixed >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
-    // The highest draw rounds to 1, whose logarithm is 0.
+/// Score of a candidate as a key's secondary server, by weighted rendezvous hashing (Thaler and
+/// Ravishankar; the logarithmic form for weights). The candidate with the highest score is chosen. When the
+/// weight of a candidate changes, only keys move that it gains or loses. `key_server_hash` is a hash of key
+/// and server.
+pub fn rendezvous(key_server_hash: u64, weight: f64) -> f64 {
+    let drawn = ((key_server_hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
+    // The highest draw would round to 1, whose logarithm is 0.
     -weight.max(1e-9) / drawn.min(MAX_DRAW).ln()
 }
--- a/crates/decision/src/tenant_quota.rs
+++ b/crates/decision/src/tenant_quota.rs
@@ -1,35 +1,36 @@
-//! Whether a tenant sends more than its quota at this node. No clock: time is an argument.
+//! Tenant quotas: whether a tenant exceeds its quota at this node. No clock: time is an argument.
 //!
-//! Guarantees: a tenant is never over its quota while it sends no more than an even part of its quota (one
-//! part for each node), nor while its fraction of the requests at this node is no more than its quota's
-//! fraction of all quotas. The second rule guards against a node that receives many times what the others do:
-//! by an even part of the quotas most of its requests would be over them.
+//! Guarantees: a tenant is within its quota as long as it sends no more than this node's even share (its
+//! quota divided by the number of nodes), or as long as its fraction of the requests at this node is no
+//! more than its quota's fraction of the sum of all quotas. The second rule guards against a node that
+//! receives many times as many requests as the others: by the even share most of them would be over quota.
 //!
-//! Not guaranteed: where all tenants exceed their quotas in the same proportion, or there is one alone, none
-//! is over its quota here; what servers can't bear is rejected by other decisions.
+//! Not guaranteed: if all tenants exceed their quotas in the same proportion, or there is only one tenant,
+//! none is over its quota here. Load that the servers can't bear is rejected by other decisions.
 
 use crate::api::{Micros, Settings};
 
-/// Tokens that are saved up at most, and in seconds of the even part's rate besides.
+/// Maximum saved tokens of a tenant: this many, plus the even share of this many seconds.
 const MAX_SAVED_TOKENS: f64 = 2.0;
 
 /// One tenant's token bucket at this node.
 struct TokenBucket {
-    /// Tokens a second: an even part of the quota for each node.
+    /// Tokens per second: the even share, i.e. the quota divided by the number of nodes.
     rate_per_s: f64,
-    /// Tokens for each arrival of any tenant: its quota's fraction of all quotas.
+    /// Tokens per arrival of any tenant: the fraction of this quota in the sum of all quotas.
     tokens_per_arrival: f64,
     tokens: f64,
+    /// When the bucket was last refilled.
     refilled: Micros,
-    /// Arrivals at this node by then.
+    /// Arrivals at this node up to the last refill.
     arrivals: u64,
 }
 
-/// The quotas of all tenants at this node.
+/// Token buckets of all tenants at this node, by tenant.
 pub(crate) struct TenantQuotas(Vec<TokenBucket>);
 
 impl TenantQuotas {
-    /// The quotas of the settings, with full buckets.
+    /// Full buckets for the tenants in the settings.
     pub(crate) fn new(settings: &Settings, now: Micros) -> TenantQuotas {
         let all: f64 = settings.tenants.iter().map(|t| t.quota_per_s).sum();
         let bucket = |quota_per_s: f64| TokenBucket {
@@ -43,7 +44,8 @@
         TenantQuotas(tenants.map(|t| bucket(t.quota_per_s)).collect())
     }
 
-    /// Takes a token of the tenant's; true if there is none. `arrivals`: at this node so far, of all tenants.
+    /// Takes a token from the tenant's bucket; returns true if there is none. `arrivals`: number of
+    /// requests of all tenants that have arrived at this node so far.
     pub(crate) fn is_exceeded(
         &mut self,
         now: Micros,
