--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -1,14 +1,14 @@
-//! The checkpoint that one process of a node leaves to the next: the placement of keys that it has learned
-//! and the health of the servers. No I/O and no clock: who stores it says how old it is.
+//! The checkpoint that one process of a node hands over to the next: the learned placement of keys and the
+//! health of the servers. No I/O and no clock: the caller that stores it supplies its age.
 //!
-//! Guarantees: a restored checkpoint moves only servers that the first complete endpoint list names as live,
-//! in their shared order; one that is damaged or beyond its bounds is rejected as a whole
-//! ([`Checkpoint::validated`]); nothing in it lets a request go to a server that no list has named. Evidence
-//! against a server that has restarted since is dropped. Quotas and requests in flight are not in it: they
-//! belong to the process. Nor are the recently served keys: with them a new process was worse off than
-//! without (`docs/design/handover.md`).
+//! Guarantees: a restored checkpoint places only servers that the first complete endpoint list names as
+//! live, in the order that all nodes share. A checkpoint that is damaged or exceeds its bounds is rejected
+//! as a whole ([`Checkpoint::validated`]). No request is sent to a server that no endpoint list has named,
+//! even if the checkpoint does. Evidence against a server that has restarted since is dropped. Quotas and
+//! requests in flight are not included: they belong to the process. Recently served keys are not included
+//! either: with them a new process performed worse than without (`docs/design/handover.md`).
 //!
-//! Its fields are stored by position: their order and types are part of the format.
+//! Fields are stored by position: their order and types are part of the format.
 
 use serde::{Deserialize, Serialize};
 
@@ -21,32 +21,34 @@
 use crate::retry::MAX_TOKENS;
 use crate::server_health::{Server, MIN_SILENT_FRACTION, MIN_TIMELY_FRACTION};
 
-/// Servers, hot keys and classes at most; more than any fleet that one node can hold connections to.
+/// Maximum numbers of servers, hot keys and classes: more than in any fleet that one node can hold
+/// connections to.
 const MAX_SERVERS: usize = 4096;
-const MAX_KEYS: usize = 8 * MAX_SERVERS;
+const MAX_HOT_KEYS: usize = 8 * MAX_SERVERS;
 const MAX_CLASSES: usize = 1 << 16;
-/// Longest name of a server, in bytes.
-const MAX_NAME: usize = 1024;
-/// Two readings of one start differ by less: each process reads the clocks for itself.
+/// Maximum length of a server's name, in bytes.
+const MAX_SERVER_NAME_LENGTH: usize = 1024;
+/// Two processes read the start of the same server process differently by less than this, in microseconds,
+/// since each reads the clocks for itself.
 const SAME_START_MARGIN: Micros = 1_000_000;
-/// Counts beyond this are none that a node reaches; below it sums stay far from overflow, and times do as
-/// well.
+/// Upper bound of counts and ages, which no node reaches. Below it, sums and times are far from overflow.
 const MAX_COUNT: u64 = 1 << 53;
-/// Largest logarithm of a time, and of a ratio of two, that is accepted.
+/// Maximum absolute logarithm of a latency or of a ratio of latencies.
 const MAX_LOG: f64 = 100.0;
-/// Longest ejection or time left that is accepted.
-const MAX_TIME: Micros = 3_600_000_000;
+/// Maximum ejection time, remaining ejection time and latency quantile, in microseconds.
+const MAX_DURATION: Micros = 3_600_000_000;
 
-/// See the module. Ages and times left are in microseconds, as of when it was taken.
+/// The state of a node that the next process takes over; see the module documentation. Ages and remaining
+/// times are in microseconds as of when the checkpoint was taken.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// In their shared order.
+    /// In the order that all nodes share.
     servers: Vec<SavedServer>,
-    /// Positions in the key space, the oldest first.
+    /// Positions of recent arrivals in the key space, oldest first.
     window: Vec<f64>,
     arrivals: u64,
     updates: f64,
-    keys: Vec<SavedKey>,
+    keys: Vec<SavedHotKey>,
     latencies: SavedLatencies,
     late: f64,
     retry_success: f64,
@@ -59,26 +61,28 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct SavedServer {
     server: String,
+    /// Age of its process. None: started long ago.
     started_ago: Option<Micros>,
     upper_bound: f64,
     failure_log_odds: f64,
+    /// Time until its ejection ends.
     ejected_for: Micros,
     ejection_time: Micros,
     timely_fraction: f64,
     failing_fraction: f64,
-    /// Evidence that it is an outlier, decayed until now.
+    /// Evidence that it is an outlier, decayed until the checkpoint was taken.
     outlier_probability: f64,
-    /// Sum and samples of its kind, and the least latency of its zone: labels have other numbers in the next
-    /// process.
+    /// Log sum and samples of its kind of machine, and the lowest latency of its zone. Stored for each
+    /// server because labels have other numbers in the next process.
     kind: (f64, f64),
     zone_minimum: f64,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct SavedKey {
+struct SavedHotKey {
     key: u64,
     counts: [f64; 2],
-    /// Arrivals since.
+    /// Number of arrivals at the node since the key's counts were updated.
     arrivals_ago: u64,
     rotation: u64,
 }
@@ -90,8 +94,9 @@
     samples: Vec<f64>,
 }
 
-/// A checkpoint that waits for the first endpoint list, and when it was taken by this process's clock.
+/// A restored checkpoint that waits for the first complete endpoint list.
 pub(crate) struct RestoredCheckpoint {
+    /// When the checkpoint was taken, on the clock of this process.
     taken: Micros,
     checkpoint: Checkpoint,
 }
@@ -100,15 +105,15 @@
     (0.0..=1.0).contains(&x)
 }
 
-fn is_at_least_zero(x: f64) -> bool {
+fn is_non_negative(x: f64) -> bool {
     x.is_finite() && x >= 0.0
 }
 
-fn is_time(time: Micros) -> bool {
-    (0..=MAX_TIME).contains(&time)
+fn is_valid_duration(time: Micros) -> bool {
+    (0..=MAX_DURATION).contains(&time)
 }
 
-fn are_within(list: &[f64], limit: f64) -> bool {
+fn are_valid_class_values(list: &[f64], limit: f64) -> bool {
     list.len() <= MAX_CLASSES && list.iter().all(|x| (-limit..=limit).contains(x))
 }
 
@@ -123,37 +128,38 @@
         let (log_sum, samples) = self.kind;
         let started = self
             .started_ago
-            .is_none_or(|ago| (-MAX_TIME..MAX_COUNT as Micros).contains(&ago));
-        let named = !self.server.is_empty() && self.server.len() <= MAX_NAME;
+            .is_none_or(|ago| (-MAX_DURATION..MAX_COUNT as Micros).contains(&ago));
+        let has_valid_name = !self.server.is_empty() && self.server.len() <= MAX_SERVER_NAME_LENGTH;
         let kind = (0.0..=MAX_SAMPLES + 1.0).contains(&samples)
             && log_sum.abs() <= MAX_LOG * (MAX_SAMPLES + 1.0);
-        let times = is_time(self.ejected_for) && is_time(self.ejection_time);
-        named
+        let times = is_valid_duration(self.ejected_for) && is_valid_duration(self.ejection_time);
+        has_valid_name
             && started
             && fractions.into_iter().all(is_fraction)
-            && is_at_least_zero(self.failure_log_odds)
+            && is_non_negative(self.failure_log_odds)
             && kind
             && times
-            && is_at_least_zero(self.zone_minimum)
+            && is_non_negative(self.zone_minimum)
     }
 }
 
 impl SavedLatencies {
     fn is_valid(&self) -> bool {
-        are_within(&self.high_quantile, MAX_TIME as f64)
-            && are_within(&self.mean_log, MAX_LOG)
-            && are_within(&self.samples, MAX_SAMPLES)
+        are_valid_class_values(&self.high_quantile, MAX_DURATION as f64)
+            && are_valid_class_values(&self.mean_log, MAX_LOG)
+            && are_valid_class_values(&self.samples, MAX_SAMPLES)
             && self
                 .high_quantile
                 .iter()
                 .chain(&self.samples)
                 .copied()
-                .all(is_at_least_zero)
+                .all(is_non_negative)
     }
 }
 
 impl Checkpoint {
-    /// The checkpoint, if every part of it can be one that [`Balancer::checkpoint`] took.
+    /// Returns the checkpoint if all of its values are ones that [`Balancer::checkpoint`] can have stored,
+    /// None otherwise.
     pub fn validated(self) -> Option<Checkpoint> {
         let valid = self.are_servers_valid()
             && self.are_keys_valid()
@@ -163,21 +169,23 @@
     }
 
     fn are_servers_valid(&self) -> bool {
-        let mut neighbours = self.servers.windows(2);
+        let mut adjacent_servers = self.servers.windows(2);
         self.servers.len() <= MAX_SERVERS
             && self.servers.iter().all(SavedServer::is_valid)
-            && neighbours.all(|pair| pair[0].upper_bound <= pair[1].upper_bound)
+            && adjacent_servers.all(|pair| pair[0].upper_bound <= pair[1].upper_bound)
             && self.window.len() <= MAX_WINDOW
             && self.window.iter().copied().all(is_fraction)
     }
 
     fn are_keys_valid(&self) -> bool {
-        let is_valid = |key: &SavedKey| {
-            key.counts.into_iter().all(is_at_least_zero)
+        let is_valid = |key: &SavedHotKey| {
+            key.counts.into_iter().all(is_non_negative)
                 && key.arrivals_ago <= self.arrivals
                 && key.rotation <= MAX_COUNT
         };
-        self.keys.len() <= MAX_KEYS && self.arrivals <= MAX_COUNT && self.keys.iter().all(is_valid)
+        self.keys.len() <= MAX_HOT_KEYS
+            && self.arrivals <= MAX_COUNT
+            && self.keys.iter().all(is_valid)
     }
 
     fn are_averages_valid(&self) -> bool {
@@ -189,11 +197,11 @@
             self.admitted_fraction,
         ];
         fractions.into_iter().all(is_fraction)
-            && is_at_least_zero(self.updates)
-            && is_at_least_zero(self.retry_tokens)
+            && is_non_negative(self.updates)
+            && is_non_negative(self.retry_tokens)
     }
 
-    /// Evidence against a server, as the probability that it is an outlier.
+    /// Probability that a server is an outlier; 0 if the checkpoint does not contain the server.
     pub fn outlier_probability(&self, server: &str) -> f64 {
         self.servers
             .iter()
@@ -201,15 +209,15 @@
             .map_or(0.0, |s| s.outlier_probability)
     }
 
-    /// How many servers and positions it holds, for the log.
+    /// Number of servers and of positions that it contains, for the log.
     pub fn size(&self) -> (usize, usize) {
         (self.servers.len(), self.window.len())
     }
 }
 
 impl Balancer {
-    /// What the next process of this node needs to go on as this one does. The same state gives the same
-    /// checkpoint.
+    /// Takes a checkpoint, from which the next process of this node continues as this one would. The same
+    /// state gives the same checkpoint.
     pub fn checkpoint(&self, now: Micros) -> Checkpoint {
         let servers = self.partition.servers.iter();
         let latencies = &self.latencies;
@@ -218,7 +226,7 @@
             window: self.partition.window.iter().copied().collect(),
             arrivals: self.partition.hot_keys.arrivals,
             updates: self.partition.updates,
-            keys: self.save_keys(),
+            keys: self.save_hot_keys(),
             latencies: SavedLatencies {
                 high_quantile: latencies.high_quantile.clone(),
                 mean_log: latencies.mean_log.clone(),
@@ -242,8 +250,8 @@
             started_ago: entry.started.map(|started| now - started),
             upper_bound: server.upper_bound,
             failure_log_odds: server.failure_log_odds,
-            ejected_for: (server.ejected_until - now).clamp(0, MAX_TIME),
-            ejection_time: server.ejection_time.clamp(0, MAX_TIME),
+            ejected_for: (server.ejected_until - now).clamp(0, MAX_DURATION),
+            ejection_time: server.ejection_time.clamp(0, MAX_DURATION),
             timely_fraction: server.timely_fraction,
             failing_fraction: server.failing_fraction,
             outlier_probability: self.outliers.outlier_probability(now, &entry.server),
@@ -252,21 +260,22 @@
         }
     }
 
-    fn save_keys(&self) -> Vec<SavedKey> {
+    fn save_hot_keys(&self) -> Vec<SavedHotKey> {
         let hot_keys = &self.partition.hot_keys;
-        let save = |(key, count): (&u64, &KeyCount)| SavedKey {
+        let save = |(key, count): (&u64, &KeyCount)| SavedHotKey {
             key: *key,
             counts: count.counts,
             arrivals_ago: hot_keys.arrivals - count.updated,
             rotation: count.rotation as u64,
         };
-        let mut keys: Vec<SavedKey> = hot_keys.counts.iter().map(save).collect();
+        let mut keys: Vec<SavedHotKey> = hot_keys.counts.iter().map(save).collect();
         keys.sort_unstable_by_key(|saved| saved.key);
         keys
     }
 
-    /// Restores what a process of this node had learned `age` ago, before any endpoint list has come. The
-    /// placement waits for the first complete list that names a server.
+    /// Restores a checkpoint that a process of this node took `age` microseconds ago. To be called before
+    /// any endpoint list has arrived; the placement is restored with the first complete list that names a
+    /// server of the checkpoint.
     pub fn restore(&mut self, now: Micros, age: Micros, checkpoint: Checkpoint) {
         let classes = self.settings.classes.len();
         let saved = &checkpoint.latencies;
@@ -293,7 +302,7 @@
         });
     }
 
-    /// Places the servers as the restored checkpoint had them, for the first complete list to change.
+    /// Places the servers as in the restored checkpoint, before the first complete list is applied to them.
     pub(crate) fn restore_partition(&mut self, kind: EndpointListKind, entries: &[Endpoint]) {
         let first = kind != EndpointListKind::Delta && self.partition.servers.is_empty();
         let is_named = |restored: &mut RestoredCheckpoint| {
@@ -312,7 +321,7 @@
         let order = |s: &Server| (s.order, s.entry.server.clone());
         let servers = &self.partition.servers;
         if !servers.is_sorted_by(|a, b| order(a) < order(b)) {
-            // Not placed by this program: nothing of the placement holds.
+            // The order is not that of this program, so the saved placement is invalid.
             self.partition = Partition::default();
             return;
         }
@@ -325,8 +334,8 @@
         self.update_weights();
     }
 
-    /// One server as it was saved. One that no list names as live is there for its range, which goes to its
-    /// neighbours at once.
+    /// Restores a saved server. One that the list does not name as live is restored for its range only,
+    /// which the caller passes on to its neighbours at once.
     fn restore_server(&mut self, taken: Micros, saved: &SavedServer, listed: Option<&Endpoint>) {
         let id: ServerId = saved.server.as_str().into();
         let started = saved.started_ago.map(|ago| taken - ago);
@@ -373,7 +382,7 @@
         partition.updates = checkpoint.updates;
         partition.updated = taken;
         let arrivals = checkpoint.arrivals;
-        let restore = |saved: SavedKey| {
+        let restore = |saved: SavedHotKey| {
             let count = KeyCount {
                 counts: saved.counts,
                 updated: arrivals - saved.arrivals_ago,
@@ -386,7 +395,7 @@
     }
 }
 
-/// The entry of a server that the list names as live.
+/// The entry of a server, if the list names it as live.
 fn live_entry<'a>(entries: &'a [Endpoint], name: &str) -> Option<&'a Endpoint> {
     entries
         .iter()
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -1,8 +1,9 @@
-//! Reads the settings object of an instance, and the names that it uses: one reader for the messages of a
+//! Parses the settings object of an instance, and the names in it. Used both for the messages of a
 //! simulator and for the configuration of a node.
 //!
-//! Guarantees: whatever a rule depends on must be there; an error names the field and what is wrong with it.
-//! Labels that are met are numbered in the order in which they come, at most `MAX_LABELS` of each sort.
+//! Guarantees: a field that a rule depends on is required; an error names the field and what is wrong with
+//! it. Labels of zones and of kinds are numbered in the order in which they are first seen, at most
+//! `MAX_LABELS` of each.
 
 use std::cell::RefCell;
 use std::sync::Arc;
@@ -14,18 +15,18 @@
     Tenant, WeightMeaning,
 };
 
-/// A field that is missing, or holds something else than it should.
+/// A field that is missing or has an invalid value.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{}field {field}: {reason}", .item.map_or(String::new(), |item| format!("item {item}: ")))]
 pub struct SettingsError {
     field: String,
     reason: String,
-    /// Number of the item in its batch, if it is one.
+    /// Index of the item in its batch, if it is part of one.
     item: Option<usize>,
 }
 
 impl SettingsError {
-    /// A field and what is wrong with it.
+    /// An error for a field; `reason` says what is wrong with it.
     pub fn new(field: &str, reason: impl Into<String>) -> SettingsError {
         SettingsError {
             field: field.to_string(),
@@ -35,10 +36,10 @@
     }
 
     fn unknown_value(field: &str, value: &str) -> SettingsError {
-        SettingsError::new(field, format!("{value:?} is not known"))
+        SettingsError::new(field, format!("unknown value {value:?}"))
     }
 
-    /// Names the item of a batch, unless one is named already.
+    /// Adds the index of the item in its batch, unless the error has one already.
     #[must_use]
     pub fn at(mut self, item: usize) -> SettingsError {
         self.item.get_or_insert(item);
@@ -50,11 +51,11 @@
 pub struct Fields<'a>(&'a Map<String, Value>);
 
 impl<'a> Fields<'a> {
-    /// The fields of a value that has to be an object.
+    /// The fields of a value, which must be an object; `name` is its name in errors.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the value is something else.
+    /// [`SettingsError`] if the value is not an object.
     pub fn of(value: &'a Value, name: &str) -> Result<Fields<'a>, SettingsError> {
         value
             .as_object()
@@ -62,16 +63,16 @@
             .ok_or_else(|| SettingsError::new(name, "is not an object"))
     }
 
-    /// The field, unless it is absent or null.
+    /// The value of the field; None if it is absent or null.
     pub fn opt(&self, name: &str) -> Option<&'a Value> {
         self.0.get(name).filter(|v| !v.is_null())
     }
 
-    /// The field, which has to be there.
+    /// The value of the field, which must be present.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is absent or null.
     pub fn get(&self, name: &str) -> Result<&'a Value, SettingsError> {
         self.opt(name)
             .ok_or_else(|| SettingsError::new(name, "is missing"))
@@ -81,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn text(&self, name: &str) -> Result<&'a str, SettingsError> {
         self.get(name)?
             .as_str()
@@ -92,18 +93,19 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn int(&self, name: &str) -> Result<i64, SettingsError> {
         self.get(name)?
             .as_i64()
             .ok_or_else(|| SettingsError::new(name, "is not a whole number"))
     }
 
-    /// The field as a whole number of 64 bits, signed or not.
+    /// The field as a 64-bit whole number; a negative one is converted to the unsigned number with the same
+    /// bits.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn seed(&self, name: &str) -> Result<u64, SettingsError> {
         let v = self.get(name)?;
         v.as_u64()
@@ -115,45 +117,46 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn number(&self, name: &str) -> Result<f64, SettingsError> {
         self.get(name)?
             .as_f64()
             .ok_or_else(|| SettingsError::new(name, "is not a number"))
     }
 
-    /// The field as a number, or the default where it is absent.
+    /// The field as a number, or the default if it is absent.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field has another type.
     pub fn number_or(&self, name: &str, default: f64) -> Result<f64, SettingsError> {
         self.opt(name).map_or(Ok(default), |_| self.number(name))
     }
 
-    /// The field as a number, if it is there.
+    /// The field as a number; None if it is absent.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field has another type.
     pub fn opt_number(&self, name: &str) -> Result<Option<f64>, SettingsError> {
         self.opt(name).map(|_| self.number(name)).transpose()
     }
 
-    /// The field, in milliseconds, as microseconds.
+    /// The field, a number of milliseconds, in microseconds.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn micros(&self, name: &str) -> Result<Micros, SettingsError> {
         Ok((self.number(name)? * 1000.0).round() as Micros)
     }
 
-    /// The field, in milliseconds, as microseconds, or the default (in microseconds) where it is absent.
+    /// The field, a number of milliseconds, in microseconds, or the default (in microseconds) if it is
+    /// absent.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field has another type.
     pub fn micros_or(&self, name: &str, default: Micros) -> Result<Micros, SettingsError> {
         self.opt(name).map_or(Ok(default), |_| self.micros(name))
     }
@@ -162,18 +165,18 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn flag(&self, name: &str) -> Result<bool, SettingsError> {
         self.get(name)?
             .as_bool()
             .ok_or_else(|| SettingsError::new(name, "is not true or false"))
     }
 
-    /// The field as true or false, or the default where it is absent.
+    /// The field as true or false, or the default if it is absent.
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field has another type.
     pub fn flag_or(&self, name: &str, default: bool) -> Result<bool, SettingsError> {
         self.opt(name).map_or(Ok(default), |_| self.flag(name))
     }
@@ -182,7 +185,7 @@
     ///
     /// # Errors
     ///
-    /// [`SettingsError`] where the field is missing or holds something else.
+    /// [`SettingsError`] if the field is missing or has another type.
     pub fn array(&self, name: &str) -> Result<&'a Vec<Value>, SettingsError> {
         self.get(name)?
             .as_array()
@@ -190,9 +193,9 @@
     }
 }
 
-/// An entry of an endpoint list with its labels still as names.
+/// An entry of an endpoint list, with its labels as text.
 pub struct RawEndpoint {
-    /// Server.
+    /// Name of the server.
     pub server: Arc<str>,
     /// Listed weight.
     pub weight: f64,
@@ -200,16 +203,16 @@
     pub zone: Option<String>,
     /// Kind of machine, if announced.
     pub kind: Option<String>,
-    /// State.
+    /// Whether the server takes requests, drains or is removed.
     pub state: ServerState,
-    /// When it last started; none: long ago.
+    /// When the server last started, on the node's clock. None: long ago.
     pub started: Option<Micros>,
-    /// Cell, if announced.
+    /// Number of the cell, if announced.
     pub cell: Option<u32>,
 }
 
-/// Names of one instance, numbered as the settings list them; labels of zones and kinds are added as they are
-/// met.
+/// The names of one instance, numbered in the order of the settings. Labels of zones and kinds that the
+/// settings do not list are added when they are first seen.
 pub struct Names {
     classes: Vec<String>,
     tenants: Vec<String>,
@@ -217,17 +220,18 @@
     kinds: RefCell<Vec<String>>,
 }
 
-/// Labels numbered beside those that the settings list. No fleet has as many zones or kinds of machine; what
-/// lists make up beyond that shares one number, so that it costs neither memory nor time.
+/// Maximum number of labels of zones, and of kinds, that get a number of their own. No fleet has as many
+/// zones or kinds of machine; further labels in endpoint lists share one number, so that they cost neither
+/// memory nor time.
 const MAX_LABELS: usize = 4096;
 
-fn find(names: &[String], name: &str) -> Option<usize> {
+fn index_of(names: &[String], name: &str) -> Option<usize> {
     names.iter().position(|n| n == name)
 }
 
 fn number_label(labels: &RefCell<Vec<String>>, name: &str) -> u16 {
     let mut labels = labels.borrow_mut();
-    let index = find(&labels, name).or_else(|| {
+    let index = index_of(&labels, name).or_else(|| {
         (labels.len() < MAX_LABELS).then(|| {
             labels.push(name.to_string());
             labels.len() - 1
@@ -239,22 +243,22 @@
 }
 
 impl Names {
-    /// The name of a class by its number; empty where there is none.
+    /// The name of a class, by its number; empty if there is no such class.
     pub fn class_name(&self, class: usize) -> &str {
         self.classes.get(class).map_or("", |name| name)
     }
 
-    /// A class by its name.
+    /// The number of a class, by its name.
     pub fn class(&self, name: &str) -> Option<usize> {
-        find(&self.classes, name)
+        index_of(&self.classes, name)
     }
 
-    /// A tenant by its name.
+    /// The number of a tenant, by its name.
     pub fn tenant(&self, name: &str) -> Option<usize> {
-        find(&self.tenants, name)
+        index_of(&self.tenants, name)
     }
 
-    /// An entry with its labels numbered.
+    /// The entry with its labels as numbers.
     pub fn entry(&self, raw: &RawEndpoint) -> Endpoint {
         let number = |labels, name: Option<&str>| name.map(|name| number_label(labels, name));
         Endpoint {
@@ -269,7 +273,7 @@
     }
 }
 
-fn names(fields: &Fields<'_>, field: &str) -> Result<Vec<String>, SettingsError> {
+fn parse_names(fields: &Fields<'_>, field: &str) -> Result<Vec<String>, SettingsError> {
     let Some(value) = fields.opt(field) else {
         return Ok(Vec::new());
     };
@@ -279,12 +283,13 @@
     let name = |value: &Value| value.as_str().map(str::to_string);
     list.iter()
         .map(|value| {
-            name(value).ok_or_else(|| SettingsError::new(field, "holds something not text"))
+            name(value)
+                .ok_or_else(|| SettingsError::new(field, "contains an item that is not text"))
         })
         .collect()
 }
 
-fn class(value: &Value) -> Result<(String, Class), SettingsError> {
+fn parse_class(value: &Value) -> Result<(String, Class), SettingsError> {
     let fields = Fields::of(value, "classes")?;
     let idempotency = match fields.text("repeat")? {
         "free" => Idempotency::Idempotent,
@@ -322,13 +327,13 @@
     Ok((fields.text("name")?.to_string(), class))
 }
 
-fn classes(fields: &Fields<'_>) -> Result<(Vec<String>, Vec<Class>), SettingsError> {
+fn parse_classes(fields: &Fields<'_>) -> Result<(Vec<String>, Vec<Class>), SettingsError> {
     let list = fields.array("classes")?;
-    let classes: Vec<(String, Class)> = list.iter().map(class).collect::<Result<_, _>>()?;
+    let classes: Vec<(String, Class)> = list.iter().map(parse_class).collect::<Result<_, _>>()?;
     Ok(classes.into_iter().unzip())
 }
 
-fn tenants(fields: &Fields<'_>) -> Result<(Vec<String>, Vec<Tenant>), SettingsError> {
+fn parse_tenants(fields: &Fields<'_>) -> Result<(Vec<String>, Vec<Tenant>), SettingsError> {
     let (mut names, mut tenants) = (Vec::new(), Vec::new());
     let Some(value) = fields.opt("realms") else {
         return Ok((names, tenants));
@@ -348,7 +353,7 @@
 }
 
 /// Whether the endpoint list has to be polled.
-fn polls(fields: &Fields<'_>) -> Result<bool, SettingsError> {
+fn must_poll(fields: &Fields<'_>) -> Result<bool, SettingsError> {
     match fields.text("discovery")? {
         "push" => Ok(false),
         "ask" => Ok(true),
@@ -356,7 +361,7 @@
     }
 }
 
-fn cache_mode(domain: &Fields<'_>) -> Result<CacheMode, SettingsError> {
+fn parse_cache_mode(domain: &Fields<'_>) -> Result<CacheMode, SettingsError> {
     let mode = domain
         .opt("mode")
         .map(|_| domain.text("mode"))
@@ -368,7 +373,7 @@
     }
 }
 
-fn weight_meaning(fields: &Fields<'_>) -> WeightMeaning {
+fn parse_weight_meaning(fields: &Fields<'_>) -> WeightMeaning {
     match fields.opt("weights").and_then(Value::as_str) {
         Some("nominal" | "rough") => WeightMeaning::Size,
         Some("live") => WeightMeaning::Live,
@@ -390,7 +395,7 @@
     limit.unwrap_or(u64::MAX) as usize
 }
 
-/// The longest Retry-After that clients honour; 0 where they don't.
+/// The longest Retry-After that clients honour; 0 if they ignore it.
 fn max_retry_after(limits: &Fields<'_>) -> Result<Micros, SettingsError> {
     if limits.flag_or("retry_after", false)? {
         limits.micros_or("max_retry_after", 0)
@@ -399,34 +404,35 @@
     }
 }
 
-/// Used where the settings do not say by when a connection is given up: what deployments have that leave it
-/// out.
+/// Connect timeout in microseconds where the settings have none; that of the deployments which omit it.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
 
-/// Settings and names from their object; what a rule depends on must be there.
+/// Parses the settings and the names. Fields that a rule depends on are required.
 ///
 /// # Errors
 ///
-/// [`SettingsError`] at the first field that is missing or holds something else than it should.
+/// [`SettingsError`] for the first field that is missing or has an invalid value.
 pub fn parse(fields: &Fields<'_>) -> Result<(Settings, Names), SettingsError> {
-    let (class_names, classes) = classes(fields)?;
-    let (tenant_names, tenants) = tenants(fields)?;
-    let zones = names(fields, "zones")?;
-    let kinds = names(fields, "kinds")?;
+    let (class_names, classes) = parse_classes(fields)?;
+    let (tenant_names, tenants) = parse_tenants(fields)?;
+    let zones = parse_names(fields, "zones")?;
+    let kinds = parse_names(fields, "kinds")?;
     let limits = Fields::of(fields.get("policy_limits")?, "policy_limits")?;
     let rules = Fields::of(fields.get("rules")?, "rules")?;
     let empty = Value::Object(Map::new());
     let optional = |name| Fields::of(fields.opt(name).unwrap_or(&empty), name);
     let (prices, domain) = (optional("prices")?, optional("domain")?);
-    let poll = polls(fields)?;
-    let mode = cache_mode(&domain)?;
+    let poll = must_poll(fields)?;
+    let mode = parse_cache_mode(&domain)?;
     let zone = fields.opt("zone").and_then(Value::as_str);
     let settings = Settings {
         classes,
         tenants,
         nodes: node_count(fields)?,
         node_number: opt_int(fields, "me")?.and_then(|n| u64::try_from(n).ok()),
-        zone: zone.and_then(|name| find(&zones, name)).map(|i| i as u16),
+        zone: zone
+            .and_then(|name| index_of(&zones, name))
+            .map(|i| i as u16),
         poll,
         poll_within: if poll {
             rules.micros("ask_within")?
@@ -436,7 +442,7 @@
         mode,
         origin_kind: opt_int(&domain, "origin_kind")?.and_then(|kind| u16::try_from(kind).ok()),
         origin_overload_multiple: domain.number_or("origin_fall_multiple", 0.0)?,
-        weights: weight_meaning(fields),
+        weights: parse_weight_meaning(fields),
         weight_by_work: fields.opt("value_by").and_then(Value::as_str) == Some("work"),
         over_quota_weight: fields.number_or("over_share_worth", 1.0)?,
         tick: fields.micros_or("period", 1000)?,
--- a/crates/decision/src/settings_validation.rs
+++ b/crates/decision/src/settings_validation.rs
@@ -1,33 +1,34 @@
-//! Which settings are rejected: those under which the rules cannot be kept.
+//! Validation of the settings: rejects those under which the balancer cannot keep its rules.
 
 use crate::api::{CacheMode, Class, Idempotency, Settings};
 
-/// Settings that do not fit together.
+/// A setting that is out of its bounds, or missing where another one requires it.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("setting {field}: {reason}")]
 pub struct InvalidSettings {
-    /// The setting, by its name in the settings object.
+    /// Name of the setting, in [`Settings`] or in the settings object; several names are separated by
+    /// commas.
     pub field: &'static str,
-    /// Why it cannot be.
+    /// The condition that the setting must meet.
     pub reason: &'static str,
 }
 
 impl Settings {
-    /// Rejects settings under which the rules cannot be kept.
+    /// Rejects settings under which the balancer cannot keep its rules.
     ///
     /// # Errors
     ///
-    /// [`InvalidSettings`] with the first setting that cannot be.
+    /// [`InvalidSettings`] for the first invalid setting.
     pub fn validate(&self) -> Result<(), InvalidSettings> {
         if self.classes.is_empty() {
-            return invalid("classes", "there must be one at least");
+            return invalid("classes", "must contain at least one class");
         }
         self.classes.iter().try_for_each(Class::validate)?;
         if self.nodes == 0 {
-            return invalid("nodes", "there must be one at least");
+            return invalid("nodes", "must be at least one");
         }
         if self.max_attempts == 0 {
-            return invalid("max_attempts", "there must be one at least");
+            return invalid("max_attempts", "must be at least one");
         }
         if self.tick < 0 || self.answer_slack < 0 || self.drain_grace < 0 {
             return invalid("tick, answer_slack, drain_grace", "must not be negative");
@@ -35,7 +36,7 @@
         if self.poll && self.poll_within <= 0 {
             return invalid(
                 "ask_within",
-                "must be above zero where the list is asked for",
+                "must be above zero if the endpoint list is polled",
             );
         }
         if !(self.cold_capacity > 0.0 && self.cold_capacity <= 1.0) {
@@ -49,7 +50,7 @@
             return invalid("cold, fall, fall_multiple", "must not be negative");
         }
         if self.mode == CacheMode::CacheAside && self.origin_kind.is_none() {
-            return invalid("origin_kind", "aside mode needs the origin's kind");
+            return invalid("origin_kind", "is required in cache-aside mode");
         }
         Ok(())
     }
@@ -61,7 +62,10 @@
             return invalid("classes", "aim and deadline must be above zero");
         }
         if self.idempotency == Idempotency::Keyed && self.deduplication_window <= 0 {
-            return invalid("classes", "a keyed class needs a window above zero");
+            return invalid(
+                "classes",
+                "window must be above zero in a class with repeat \"guarded\"",
+            );
         }
         let weights = [
             self.priority_weight,
@@ -71,7 +75,7 @@
         if !weights.into_iter().all(|weight| weight >= 0.0) {
             return invalid(
                 "classes",
-                "worth, late worth and stretch must not be negative",
+                "worth, late_share and aim_stretch must not be negative",
             );
         }
         Ok(())
--- a/crates/decision/src/status.rs
+++ b/crates/decision/src/status.rs
@@ -1,40 +1,41 @@
-//! What a node's operators see of its decisions: metrics, the reason of the last final answer, log lines.
+//! What the operators of a node see of its decisions: which servers are available, the reason of the last
+//! final response, log lines.
 
 use crate::api::{Action, Actions, Micros, ServerId};
 use crate::balancer::Balancer;
 use crate::outlier_detection::RequestKind;
 
-/// Log lines of an instance, at most.
+/// Maximum number of log lines over the lifetime of an instance.
 const MAX_LOG_LINES: u32 = 24;
 
-/// Which decision gave a request its final answer.
+/// The decision that gave a request its final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DecisionReason {
     /// No request has been rejected or has failed yet.
     None,
-    /// The client's time left is too short for an answer.
+    /// The client's remaining time is too short for a response.
     BudgetTooShort,
     /// The tenant is over its quota while the node is overloaded.
     OverQuota,
     /// The origin is overloaded.
     OriginOverload,
-    /// Attempts fail at the median server, and the key would be fetched.
+    /// Attempts fail at the median server, and the request would probably need a fetch.
     Admission,
     /// The server could not answer in time, or would be overloaded while it warms up.
     ServerOverrun,
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// No server is left that an attempt may go to.
+    /// There is no further server to which an attempt may be sent.
     NoServer,
-    /// No answer is useful any more.
+    /// The time within which a response is useful has passed.
     Deadline,
     /// The node has stopped all attempts for the request.
     AttemptsStopped,
 }
 
 impl DecisionReason {
-    /// The word that event traces have had since their first version: programs read it, so it stays where a
-    /// variant's name changes.
+    /// The word for this reason in event traces. It has been the same since their first version, and
+    /// programs read it: it stays when a variant is renamed.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
             DecisionReason::None => "none",
@@ -52,24 +53,25 @@
 }
 
 impl Balancer {
-    /// Which decision gave the last final answer, in a word for the trace.
+    /// The reason of the last final response, as a word for the event trace.
     pub fn decision_reason(&self) -> &'static str {
         self.last_reason.as_str()
     }
 
-    /// Whether the origin behind the servers is overloaded, by what this node sees of it.
+    /// Whether the origin is overloaded, according to this node's own observations.
     pub fn origin_overloaded(&self, now: Micros) -> bool {
         self.origin_health
             .is_overloaded_for(now, RequestKind::LikelyUncached)
     }
 
-    /// Fraction of the first attempts for its keys that a listed server retains: below 1 while it fails or is
-    /// slow by itself, by what this node sees (see [`crate::outlier_detection`]).
+    /// Fraction of the first attempts for its keys that a listed server retains: below 1 while this node
+    /// observes that the server fails or is slow by itself (see [`crate::outlier_detection`]).
     pub fn retained_fraction(&self, server: &ServerId) -> f64 {
         self.outliers.retained_fraction(server)
     }
 
-    /// Whether a server that an endpoint list has named gets no requests now: it is ejected or draining.
+    /// Whether a server gets no requests now: it is ejected, draining or not listed, or it is a server of
+    /// the partition whose zone is lost. False for the origin.
     pub fn is_unavailable(&self, now: Micros, server: &ServerId) -> bool {
         if self.origins.iter().any(|s| s.entry.server == *server) {
             return false;
@@ -82,6 +84,7 @@
         !available.unwrap_or(false)
     }
 
+    /// Emits a log line, unless the instance has emitted [`MAX_LOG_LINES`] already.
     pub(crate) fn log(&mut self, text: String, actions: &mut Actions) {
         if self.log_lines < MAX_LOG_LINES {
             self.log_lines += 1;
