--- a/crates/node/src/upstream.rs
+++ b/crates/node/src/upstream.rs
@@ -1,4 +1,6 @@
-//! Upstream side: connections to cache servers. An attempt goes in, its outcome comes out as an event.
+//! Connections to cache servers: connection pools, encoding of requests and decoding of responses.
+//!
+//! The event loop starts attempts and probe requests here and receives their outcomes as events.
 
 pub(crate) mod connection;
 mod exchange;
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -1,5 +1,7 @@
-//! One connection to a cache server. It carries one exchange at a time: an attempt is abandoned by closing its connection,
-//! which must not take others with it.
+//! One connection to a cache server.
+//!
+//! A connection carries one exchange at a time, because an attempt is abandoned by closing its connection, and that must
+//! not end other exchanges.
 
 use std::net::SocketAddr;
 
@@ -11,21 +13,21 @@
 use crate::transport::WriteQueue;
 use crate::upstream::response_reader::{RequestTag, ResponseReader};
 
-/// How long a connection is not reused after a response, in case an erroneous second one follows some milliseconds later:
-/// RESP2 responses do not say which request they answer. No setting states the time; connections across zones vary by some
-/// milliseconds themselves.
-const QUARANTINE: Micros = 30_000;
+/// How long a connection is not reused after a RESP2 response. A faulty server may send a second response some milliseconds
+/// later, and because RESP2 responses carry no request id, the next request would get it. No setting states this time; the
+/// latency of connections across zones alone varies by some milliseconds.
+const QUARANTINE_TIME: Micros = 30_000;
 
-/// What a connection is used for: a request and its response.
+/// The purpose of a request and its response on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Exchange {
     /// An attempt of a request.
     Attempt(AttemptId),
-    /// A probe request.
+    /// A probe request, by its serial number.
     Probe { serial: u64 },
 }
 
-/// A request as it is written to a cache server.
+/// An encoded request, as chunks to be written in order, with the tag that its response repeats.
 pub(crate) struct EncodedRequest {
     pub(crate) chunks: Vec<Bytes>,
     pub(crate) tag: RequestTag,
@@ -36,31 +38,36 @@
     pub(crate) stream: S,
     pub(crate) server: ServerId,
     pub(crate) address: SocketAddr,
+    /// Distinguishes this connection from others that had the same key.
     pub(crate) serial: u64,
-    /// It is not established yet.
+    /// The connection is not established yet.
     pub(crate) connecting: bool,
-    /// It is established, and its request is written once the event loop has confirmed that.
-    pub(crate) unconfirmed: bool,
+    /// The connection is established, but the event loop has not yet confirmed that the attempt is still to be written.
+    pub(crate) awaits_confirmation: bool,
+    /// The exchange in progress; None while the connection is idle.
     pub(crate) exchange: Option<Exchange>,
+    /// The tag of the last request.
     pub(crate) tag: RequestTag,
-    pub(crate) out: WriteQueue,
-    pub(crate) buf: BytesMut,
+    pub(crate) write_queue: WriteQueue,
+    pub(crate) read_buffer: BytesMut,
     pub(crate) reader: ResponseReader,
-    /// In the middle of a long value: read only as fast as the client takes it.
+    /// The response in progress is a long value, which is read only as fast as the client reads it.
     pub(crate) streaming: bool,
-    /// The kernel may hold unread input.
-    pub(crate) unread: bool,
-    pub(crate) opened: Micros,
+    /// The socket was reported as readable, and has not been read until it was empty.
+    pub(crate) is_readable: bool,
+    /// When the connection began to be opened.
+    pub(crate) connect_started: Micros,
+    /// When the last exchange ended; for a new connection, when it began to be opened.
     pub(crate) idle_since: Micros,
-    /// When the last response came that does not say which request it answers.
-    pub(crate) untagged_response: Option<Micros>,
-    /// Since when more bytes of a long value have been awaited.
-    pub(crate) starved_since: Option<Micros>,
-    /// The exchange is an attempt that has not been counted as written completely.
-    pub(crate) uncounted: bool,
+    /// When the last response arrived, if that response does not identify its request (RESP2).
+    pub(crate) last_untagged_response: Option<Micros>,
+    /// Since when the next bytes of a long value have been awaited; None after a read that returned some.
+    pub(crate) value_stalled_since: Option<Micros>,
+    /// The exchange is an attempt that has not been added to the number of sends yet.
+    pub(crate) send_count_pending: bool,
 }
 
-/// Where an upstream connection goes.
+/// The server, address and protocol of an upstream connection.
 #[derive(Clone)]
 pub(crate) struct Destination {
     pub(crate) server: ServerId,
@@ -77,43 +84,44 @@
             address: to.address,
             serial,
             connecting: true,
-            unconfirmed: false,
+            awaits_confirmation: false,
             exchange: None,
             tag: RequestTag::default(),
-            out: WriteQueue::default(),
-            buf: BytesMut::new(),
+            write_queue: WriteQueue::default(),
+            read_buffer: BytesMut::new(),
             reader: ResponseReader::new(to.protocol),
             streaming: false,
-            unread: false,
-            opened: now,
+            is_readable: false,
+            connect_started: now,
             idle_since: now,
-            untagged_response: None,
-            starved_since: None,
-            uncounted: false,
+            last_untagged_response: None,
+            value_stalled_since: None,
+            send_count_pending: false,
         }
     }
 
-    /// Whether the kernel has taken the complete request, so that it may run.
+    /// Whether the kernel has accepted the complete request, so that the server may execute it.
     pub(crate) fn is_written(&self) -> bool {
-        !self.is_unwritten() && self.out.is_empty()
+        !self.is_unwritten() && self.write_queue.is_empty()
     }
 
     /// Whether nothing of the request has been written.
     pub(crate) fn is_unwritten(&self) -> bool {
-        self.connecting || self.unconfirmed
+        self.connecting || self.awaits_confirmation
     }
 
-    /// Whether a second response to its last request could still come and be taken for that of the next one.
+    /// Whether a second response to the last request may still arrive, which would be mistaken for the response to the next
+    /// one.
     pub(crate) fn is_quarantined(&self, now: Micros) -> bool {
-        self.untagged_response
-            .is_some_and(|at| now - at < QUARANTINE)
+        self.last_untagged_response
+            .is_some_and(|at| now - at < QUARANTINE_TIME)
     }
 
-    /// Queues a request.
+    /// Queues a request for writing.
     pub(crate) fn queue(&mut self, request: &EncodedRequest) {
         self.tag = request.tag;
         for chunk in &request.chunks {
-            self.out.push(chunk.clone());
+            self.write_queue.push(chunk.clone());
         }
     }
 }
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -1,4 +1,5 @@
-//! The exchange on an established connection: writing the request, reading the response, and how both can fail.
+//! The exchange on a connection: writes the request once the connection is established, reads the response, and reports how
+//! either fails.
 
 use std::io::ErrorKind;
 
@@ -14,7 +15,7 @@
 use crate::upstream::response_reader::{RequestTag, ResponsePart, ServerReply};
 
 impl<S: Stream> UpstreamPools<S> {
-    /// An event on the socket of a connection.
+    /// Handles a readiness event of a connection's socket.
     pub(crate) fn ready(
         &mut self,
         connection: usize,
@@ -27,33 +28,34 @@
         if c.connecting && !self.check_established(connection, context.now) {
             return;
         }
-        if !self.connections[connection].unconfirmed {
+        if !self.connections[connection].awaits_confirmation {
             self.flush(connection);
         }
         let c = &mut self.connections[connection];
         if event.readable || event.read_closed || event.error {
-            c.unread = true;
+            c.is_readable = true;
             match (c.streaming, c.exchange) {
                 (true, Some(exchange)) => self
                     .events
                     .push_back(UpstreamEvent::ValueAvailable(exchange)),
-                _ => self.read(connection, context),
+                _ => self.read_responses(connection, context),
             }
         }
     }
 
-    /// Checks a connection that is being opened; false if it is not established.
+    /// Checks whether a connection that is being opened is established. Returns false if it is not established yet or has
+    /// failed.
     fn check_established(&mut self, connection: usize, now: Micros) -> bool {
         let c = &mut self.connections[connection];
         match (c.stream.take_error(), c.stream.check_connected()) {
             (Ok(None), Ok(())) => {
                 c.connecting = false;
                 if let Some(Exchange::Attempt(_)) = c.exchange {
-                    c.unconfirmed = true;
+                    c.awaits_confirmation = true;
                     self.established.push_back((connection, c.serial));
                 }
-                let took = now - c.opened;
-                self.record_step(connection, ConnectionStep::Established(took));
+                let elapsed = now - c.connect_started;
+                self.record_step(connection, ConnectionStep::Established(elapsed));
                 true
             }
             (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => false,
@@ -64,38 +66,39 @@
         }
     }
 
-    /// Takes a connection that was established for an attempt. Nothing is written on it before
-    /// [`UpstreamPools::write_confirmed`].
+    /// Takes the next connection that was established for an attempt. Nothing is written on it before
+    /// [`UpstreamPools::write_confirmed`] is called.
     pub(crate) fn next_established(&mut self) -> Option<(usize, Exchange)> {
         while let Some((connection, serial)) = self.established.pop_front() {
             let c = self.connections.get(connection);
-            let waiting = c.filter(|c| c.serial == serial && c.unconfirmed);
-            if let Some(exchange) = waiting.and_then(|c| c.exchange) {
+            let awaiting = c.filter(|c| c.serial == serial && c.awaits_confirmation);
+            if let Some(exchange) = awaiting.and_then(|c| c.exchange) {
                 return Some((connection, exchange));
             }
         }
         None
     }
 
-    /// Writes the request of a connection that was just established, as it is encoded now.
+    /// Writes an attempt on the connection that was established for it. `request` replaces the one encoded at the start of
+    /// the attempt, since its deadline has become shorter meanwhile.
     pub(crate) fn write_confirmed(&mut self, connection: usize, request: &EncodedRequest) {
         let c = self.connections.get_mut(connection);
-        let Some(c) = c.filter(|c| c.unconfirmed) else {
+        let Some(c) = c.filter(|c| c.awaits_confirmation) else {
             return;
         };
-        (c.unconfirmed, c.out) = (false, WriteQueue::default());
+        (c.awaits_confirmation, c.write_queue) = (false, WriteQueue::default());
         c.queue(request);
         self.flush(connection);
     }
 
-    /// Whether nothing of a connection's request has been written.
+    /// Whether nothing of a connection's request has been written; false if the connection does not exist.
     pub(crate) fn is_unwritten(&self, connection: usize) -> bool {
         self.connections
             .get(connection)
             .is_some_and(UpstreamConnection::is_unwritten)
     }
 
-    /// The connection has failed.
+    /// Ends the exchange of a connection that has failed, and closes the connection.
     pub(super) fn fail(&mut self, connection: usize) {
         let c = &mut self.connections[connection];
         let status = if c.is_written() {
@@ -115,8 +118,9 @@
         self.close(connection, step);
     }
 
-    /// The server has violated its protocol: nothing more on this connection can be trusted.
-    fn reject(&mut self, connection: usize, error: ProtocolError) {
+    /// Reports a protocol violation by the server, ends the exchange with an error, and closes the connection, since
+    /// nothing more on it can be trusted.
+    fn end_with_protocol_error(&mut self, connection: usize, error: ProtocolError) {
         let c = &mut self.connections[connection];
         self.events
             .push_back(UpstreamEvent::ProtocolError(c.server.clone(), error));
@@ -128,7 +132,7 @@
     }
 
     /// Reads responses until the socket is empty or a long value starts.
-    fn read(
+    fn read_responses(
         &mut self,
         connection: usize,
         context: &mut UpstreamContext<'_, impl Transport<Stream = S>>,
@@ -138,47 +142,52 @@
             .get_mut(connection)
             .filter(|c| !c.streaming)
         {
-            match c.reader.next(&mut c.buf) {
+            match c.reader.next(&mut c.read_buffer) {
                 Ok(Some(ResponsePart::Complete(reply))) => {
-                    self.complete(connection, reply, context.now);
+                    self.complete_exchange(connection, reply, context.now);
                 }
                 Ok(Some(ResponsePart::ValueStart { len, tag })) => {
                     if let Err(error) = self.start_value(connection, len, tag) {
-                        return self.reject(connection, error);
+                        return self.end_with_protocol_error(connection, error);
                     }
                 }
                 Ok(Some(ResponsePart::ValueBytes(_))) => {
-                    return self.reject(connection, ProtocolError::UnexpectedValue);
+                    return self
+                        .end_with_protocol_error(connection, ProtocolError::UnexpectedValue);
                 }
-                // Guards against an unsolicited response behind the last one, which the next request would get.
+                // Guards against an unsolicited response after the last one, which would be taken for that to the next
+                // request.
                 Ok(None)
-                    if c.exchange.is_none() && (c.reader.is_mid_message() || !c.buf.is_empty()) =>
+                    if c.exchange.is_none()
+                        && (c.reader.is_mid_message() || !c.read_buffer.is_empty()) =>
                 {
-                    return self.reject(connection, ProtocolError::Unsolicited);
+                    return self.end_with_protocol_error(connection, ProtocolError::Unsolicited);
                 }
-                Ok(None) if !c.unread => {
-                    if c.buf.is_empty() {
-                        // Idle connections hold no buffers.
-                        c.buf = BytesMut::new();
+                Ok(None) if !c.is_readable => {
+                    if c.read_buffer.is_empty() {
+                        // Frees the buffer, so that idle connections hold none.
+                        c.read_buffer = BytesMut::new();
                     }
                     return;
                 }
                 Ok(None) => {
-                    if !self.fill(connection, context.scratch) {
+                    if !self.read_socket(connection, context.scratch) {
                         return;
                     }
                 }
-                Err(_) => return self.reject(connection, ProtocolError::MalformedReply),
+                Err(_) => {
+                    return self.end_with_protocol_error(connection, ProtocolError::MalformedReply)
+                }
             }
         }
     }
 
-    /// Reads from the socket once; false if the connection has failed.
-    fn fill(&mut self, connection: usize, scratch: &mut [u8]) -> bool {
+    /// Reads from the socket once. Returns false if the peer has closed the connection or it has failed.
+    fn read_socket(&mut self, connection: usize, scratch: &mut [u8]) -> bool {
         let c = &mut self.connections[connection];
-        match fill(&mut c.stream, &mut c.buf, scratch) {
+        match fill(&mut c.stream, &mut c.read_buffer, scratch) {
             ReadOutcome::More => {}
-            ReadOutcome::Empty => c.unread = false,
+            ReadOutcome::Empty => c.is_readable = false,
             ReadOutcome::Closed | ReadOutcome::Failed => {
                 self.fail(connection);
                 return false;
@@ -187,7 +196,8 @@
         true
     }
 
-    /// A long value starts.
+    /// Starts the streaming of a long value. Returns an error if the value cannot be the response to this connection's
+    /// request.
     fn start_value(
         &mut self,
         connection: usize,
@@ -197,12 +207,12 @@
         let c = &mut self.connections[connection];
         let exchange = c.exchange.ok_or(ProtocolError::Unsolicited)?;
         if !c.is_written() {
-            return Err(ProtocolError::BeforeRequest);
+            return Err(ProtocolError::PrematureResponse);
         }
         if tag.is_some_and(|tag| tag != c.tag || tag.opcode != Opcode::Get as u8) {
-            return Err(ProtocolError::OtherRequest);
+            return Err(ProtocolError::TagMismatch);
         }
-        (c.streaming, c.starved_since) = (true, None);
+        (c.streaming, c.value_stalled_since) = (true, None);
         self.events.push_back(UpstreamEvent::ValueStarted {
             exchange,
             connection,
@@ -211,23 +221,23 @@
         Ok(())
     }
 
-    /// A response is complete.
-    fn complete(&mut self, connection: usize, reply: ServerReply, now: Micros) {
+    /// Ends the exchange of a connection with a complete response.
+    fn complete_exchange(&mut self, connection: usize, reply: ServerReply, now: Micros) {
         let c = &mut self.connections[connection];
         let Some(exchange) = c.exchange else {
-            return self.reject(connection, ProtocolError::Unsolicited);
+            return self.end_with_protocol_error(connection, ProtocolError::Unsolicited);
         };
         if !is_expected(c, exchange, &reply) {
-            return self.reject(connection, ProtocolError::UnexpectedKind);
+            return self.end_with_protocol_error(connection, ProtocolError::UnexpectedResponse);
         }
         let is_early = !c.is_written();
-        // A value before the last byte of its request is that of another request.
+        // A value that arrives before the last byte of the request is written belongs to another request.
         if is_early && matches!(reply, ServerReply::Resp2(Reply::Array(_))) {
-            return self.reject(connection, ProtocolError::BeforeRequest);
+            return self.end_with_protocol_error(connection, ProtocolError::PrematureResponse);
         }
         c.exchange = None;
         c.streaming = false;
-        c.untagged_response = matches!(reply, ServerReply::Resp2(_)).then_some(now);
+        c.last_untagged_response = matches!(reply, ServerReply::Resp2(_)).then_some(now);
         self.events.push_back(UpstreamEvent::Reply(exchange, reply));
         if is_early {
             self.close(connection, ConnectionStep::Broken);
@@ -236,7 +246,8 @@
         }
     }
 
-    /// The next bytes of a long value; none if they have not arrived, or if an event reports how the value ended.
+    /// Returns the next bytes of a long value. Returns None if none have arrived, or if the value has ended or failed,
+    /// which an event reports.
     pub(crate) fn read_value(
         &mut self,
         connection: usize,
@@ -247,36 +258,36 @@
                 .connections
                 .get_mut(connection)
                 .filter(|c| c.streaming)?;
-            match c.reader.next(&mut c.buf) {
+            match c.reader.next(&mut c.read_buffer) {
                 Ok(Some(ResponsePart::ValueBytes(bytes))) => {
-                    c.starved_since = None;
+                    c.value_stalled_since = None;
                     return Some(bytes);
                 }
                 Ok(Some(ResponsePart::Complete(reply))) => {
-                    self.complete(connection, reply, context.now);
-                    self.read(connection, context);
+                    self.complete_exchange(connection, reply, context.now);
+                    self.read_responses(connection, context);
                     return None;
                 }
                 Ok(Some(ResponsePart::ValueStart { .. })) | Err(_) => {
-                    self.reject(connection, ProtocolError::MalformedValue);
+                    self.end_with_protocol_error(connection, ProtocolError::MalformedValue);
                 }
-                Ok(None) if !c.unread => {
-                    c.starved_since.get_or_insert(context.now);
+                Ok(None) if !c.is_readable => {
+                    c.value_stalled_since.get_or_insert(context.now);
                     return None;
                 }
                 Ok(None) => {
-                    self.fill(connection, context.scratch);
+                    self.read_socket(connection, context.scratch);
                 }
             }
         }
     }
 }
 
-/// Whether a response can belong to the exchange of its connection.
+/// Whether a response is of a type, and in memcached has the tag, that the exchange of its connection can get.
 fn is_expected<S>(c: &UpstreamConnection<S>, exchange: Exchange, reply: &ServerReply) -> bool {
     match (reply, exchange) {
-        (ServerReply::Resp2(Reply::Array(parts)), Exchange::Attempt(_)) => {
-            c.streaming || matches!(parts[0], Element::Bulk(_))
+        (ServerReply::Resp2(Reply::Array(elements)), Exchange::Attempt(_)) => {
+            c.streaming || matches!(elements[0], Element::Bulk(_))
         }
         (ServerReply::Resp2(Reply::Single(Element::Error(line))), _) => {
             !line.starts_with(b"SYNTAX")
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -1,8 +1,9 @@
 //! Pools of connections to cache servers, one for each server.
 //!
-//! Guarantees: at most [`MAX_CONNECTIONS_PER_SERVER`] connections to a server and `max_connections` in all; a connection is
-//! reused only for the address and protocol under which its server is listed now, and not when the server may just be closing
-//! it. What happens on connections is reported as [`UpstreamEvent`]s, which the event loop takes from `events`.
+//! Guarantees: at most [`MAX_CONNECTIONS_PER_SERVER`] connections to a server and `max_connections` in total. A connection
+//! is reused only if its address and protocol are those of the server's current entry in the endpoint list, and not when
+//! the server may be about to close it. The results of exchanges are queued as [`UpstreamEvent`]s in `events`, from which
+//! the event loop takes them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io::ErrorKind;
@@ -20,45 +21,47 @@
 use crate::upstream::connection::{Destination, EncodedRequest, Exchange, UpstreamConnection};
 use crate::upstream::response_reader::ServerReply;
 
-/// No setting says how many connections a server accepts from all nodes together. A node with so many requests in flight at
-/// one server has found it full or hanging, and more could only wait there.
+/// Bounds the connections to one server, since no setting states how many a server accepts from all nodes together. If one
+/// node has this many requests in flight at a server, the server is full or hanging, and further requests would only wait
+/// there.
 const MAX_CONNECTIONS_PER_SERVER: usize = 64;
-/// A connection is not reused after this share of the server's idle timeout, in percent: the server's timer started earlier
-/// than this node's, and a request that crosses the close is reset.
+/// The percentage of the server's idle timeout after which a connection is no longer reused. The server's timer started
+/// earlier than this node's, and a request that is sent while the server closes the connection is reset.
 const IDLE_TIMEOUT_PERCENT: i64 = 80;
-/// A probe is abandoned after this: it is answered at once or says nothing. No setting says how long servers work on one, and
-/// the decision module sends them only to a lost zone.
-const MAX_PROBE_TIME: Micros = 250_000;
-/// A server pauses a long value for 0.1 s at most; one that is silent for this much longer is lost.
-const MAX_VALUE_PAUSE: Micros = 1_500_000;
-
-/// How a server has violated its protocol. The text is that of the log line.
+/// Timeout of a probe request; a server that answers probes at all answers at once. No setting states how long servers take
+/// for one, and the decision module sends them only to a lost zone.
+const PROBE_TIMEOUT: Micros = 250_000;
+/// How long no bytes of a long value may arrive before the connection counts as failed. A working server pauses for at most
+/// 0.1 s.
+const VALUE_STALL_TIMEOUT: Micros = 1_500_000;
+
+/// A violation of the protocol by a server. The text is written to the log.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(crate) enum ProtocolError {
-    #[error("answer to nothing")]
+    #[error("unsolicited response")]
     Unsolicited,
-    #[error("answer before its request")]
-    BeforeRequest,
-    #[error("answer to another request")]
-    OtherRequest,
-    #[error("value out of place")]
+    #[error("response before its request was written")]
+    PrematureResponse,
+    #[error("response to another request")]
+    TagMismatch,
+    #[error("value bytes outside a value")]
     UnexpectedValue,
-    #[error("broken reply")]
+    #[error("malformed response")]
     MalformedReply,
-    #[error("broken value")]
+    #[error("malformed value")]
     MalformedValue,
-    #[error("answer of a wrong kind, or to another request")]
-    UnexpectedKind,
+    #[error("response of an unexpected type, or to another request")]
+    UnexpectedResponse,
 }
 
-/// What happened on a connection.
+/// The progress or the end of an exchange, or a protocol violation.
 #[derive(Debug)]
 pub(crate) enum UpstreamEvent {
     /// The exchange has ended with this response.
     Reply(Exchange, ServerReply),
     /// The exchange has ended without a response.
     Ended(Exchange, Status),
-    /// A long value starts.
+    /// A long value of `len` bytes starts.
     ValueStarted {
         exchange: Exchange,
         connection: usize,
@@ -66,7 +69,7 @@
     },
     /// More of a long value can be read with [`UpstreamPools::read_value`].
     ValueAvailable(Exchange),
-    /// The server has violated its protocol; for the log.
+    /// The server has violated its protocol. The event loop writes this to the log.
     ProtocolError(ServerId, ProtocolError),
 }
 
@@ -74,32 +77,36 @@
 struct Pool {
     address: SocketAddr,
     protocol: Protocol,
+    /// The server is in the endpoint list.
     listed: bool,
-    /// Idle connections, oldest first. The newest is used first, so that the others can age and be closed.
+    /// Keys of the idle connections, longest idle first. The most recently used one is reused first, so that the others
+    /// reach the idle timeout and are closed.
     idle: Vec<usize>,
-    open: usize,
+    /// Number of connections, idle or in use.
+    open_count: usize,
 }
 
 /// All connections to cache servers.
 pub(crate) struct UpstreamPools<S> {
     pub(super) connections: Slab<UpstreamConnection<S>>,
-    /// In a fixed order: which connection is closed for another one must not depend on chance.
+    /// Ordered by server, so that the choice of the connection that is closed for a new one is deterministic.
     pools: BTreeMap<ServerId, Pool>,
     max_connections: usize,
+    /// Serial number of the connection that was opened last.
     serial: u64,
-    /// How long a connection may be idle.
+    /// How long a connection may be idle before it is closed.
     max_idle: Micros,
     connect_timeout: Micros,
     pub(crate) events: VecDeque<UpstreamEvent>,
-    /// Connections that were established for an attempt, by key and serial.
+    /// Key and serial number of connections that were established for an attempt and await its confirmation.
     pub(super) established: VecDeque<(usize, u64)>,
-    /// Attempts written completely since the process started.
+    /// Number of attempts written completely since the process started.
     pub(crate) sends: u64,
-    /// Connection steps for the trace; none where it is off. Emptied in each round.
+    /// Connection steps for the event trace; None if the trace is off. The event loop empties it in each round.
     pub(crate) steps: Option<Vec<(ServerId, ConnectionStep)>>,
 }
 
-/// What [`UpstreamPools`] uses of its surroundings.
+/// The parts of the node that [`UpstreamPools`] uses in a call: the time, the transport, the timers and a read buffer.
 pub(crate) struct UpstreamContext<'a, N> {
     pub(crate) now: Micros,
     pub(crate) net: &'a mut N,
@@ -108,7 +115,8 @@
 }
 
 impl<S: Stream> UpstreamPools<S> {
-    /// `server_idle_timeout`: after which servers close idle connections. `traced`: whether steps are collected.
+    /// Creates the pools without servers. `server_idle_timeout`: time after which servers close idle connections. `traced`:
+    /// whether connection steps are collected for the event trace.
     pub(crate) fn new(
         max_connections: usize,
         server_idle_timeout: Micros,
@@ -129,7 +137,7 @@
         }
     }
 
-    /// A server is in the endpoint list. Connections to an address that it had before are not reused.
+    /// Adds or updates a server of the endpoint list. Connections with an earlier address or protocol of it are not reused.
     pub(crate) fn add_server(
         &mut self,
         server: &ServerId,
@@ -141,7 +149,7 @@
             protocol,
             listed: true,
             idle: Vec::new(),
-            open: 0,
+            open_count: 0,
         };
         let pool = self.pools.entry(server.clone()).or_insert_with(new_pool);
         pool.listed = true;
@@ -151,7 +159,7 @@
         }
     }
 
-    /// A server is no longer in the endpoint list: its attempts continue, its idle connections are closed.
+    /// Removes a server that is no longer in the endpoint list. Its attempts continue, its idle connections are closed.
     pub(crate) fn remove_server(&mut self, server: &ServerId) {
         if let Some(pool) = self.pools.get_mut(server) {
             pool.listed = false;
@@ -160,7 +168,7 @@
         }
     }
 
-    /// The protocol of a server.
+    /// The protocol of a server; RESP2 if the server is unknown.
     pub(crate) fn protocol(&self, server: &ServerId) -> Protocol {
         self.pools
             .get(server)
@@ -177,7 +185,7 @@
 
     fn remove_unused_pool(&mut self, server: &ServerId) {
         let pool = self.pools.get(server);
-        if pool.is_some_and(|pool| !pool.listed && pool.open == 0) {
+        if pool.is_some_and(|pool| !pool.listed && pool.open_count == 0) {
             self.pools.remove(server);
         }
     }
@@ -191,10 +199,10 @@
         }
     }
 
-    /// Starts an exchange on an idle connection or a new one, and returns its key.
+    /// Starts an exchange on an idle connection or a new one, and returns the key of the connection.
     ///
     /// # Errors
-    /// How the exchange has ended: it never ran.
+    /// Returns the status of the exchange if no connection could be used. The request has not been executed then.
     pub(crate) fn start(
         &mut self,
         exchange: Exchange,
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Takes the newest idle connection out of a pool that is not quarantined.
+    /// Takes the most recently used idle connection that is not quarantined out of the server's pool.
     fn take_idle(&mut self, server: &ServerId, now: Micros) -> Option<usize> {
         let connections = &self.connections;
         let pool = self.pools.get_mut(server)?;
@@ -231,17 +239,19 @@
         Some(pool.idle.remove(index))
     }
 
-    /// Takes the connection out of a full pool that has been quarantined longest.
+    /// Takes the idle connection that has been quarantined longest out of the server's pool. Returns None unless the pool
+    /// is full.
     fn take_longest_quarantined(&mut self, server: &ServerId) -> Option<usize> {
         let connections = &self.connections;
         let pool = self.pools.get_mut(server);
-        let pool = pool.filter(|pool| pool.open >= MAX_CONNECTIONS_PER_SERVER)?;
+        let pool = pool.filter(|pool| pool.open_count >= MAX_CONNECTIONS_PER_SERVER)?;
         let index = (0..pool.idle.len())
-            .min_by_key(|index| connections[pool.idle[*index]].untagged_response)?;
+            .min_by_key(|index| connections[pool.idle[*index]].last_untagged_response)?;
         Some(pool.idle.remove(index))
     }
 
-    /// Starts an exchange on an idle connection. A stale one is closed, which says nothing about its server.
+    /// Starts an exchange on an idle connection. Returns false if the connection was stale and had to be closed, which does
+    /// not count as a failure of the server.
     fn try_reuse(
         &mut self,
         connection: usize,
@@ -274,7 +284,7 @@
             address: pool.address,
             protocol: pool.protocol,
         };
-        if pool.open >= MAX_CONNECTIONS_PER_SERVER {
+        if pool.open_count >= MAX_CONNECTIONS_PER_SERVER {
             return Err(Status::NotSent);
         }
         if self.connections.len() >= self.max_connections && !self.close_longest_idle() {
@@ -287,7 +297,7 @@
             self.connections
                 .insert(UpstreamConnection::new(stream, to, serial, context.now));
         if let Some(pool) = self.pools.get_mut(server) {
-            pool.open += 1;
+            pool.open_count += 1;
         }
         self.record_step(connection, ConnectionStep::Opening);
         context.timers.set(
@@ -312,7 +322,8 @@
         })
     }
 
-    /// Gives an exchange to a connection; false if the connection turns out to be broken.
+    /// Starts an exchange on a connection, and writes its request unless the connection is still being opened. Returns
+    /// false if the write fails.
     fn assign(
         &mut self,
         connection: usize,
@@ -326,26 +337,28 @@
         let serial = c.serial;
         if let Exchange::Probe { .. } = exchange {
             context.timers.set(
-                context.now + MAX_PROBE_TIME,
+                context.now + PROBE_TIMEOUT,
                 TimerEvent::Upstream { connection, serial },
             );
         }
-        c.uncounted = matches!(exchange, Exchange::Attempt(_));
-        let is_usable = c.connecting || c.out.flush(&mut c.stream).is_ok();
+        c.send_count_pending = matches!(exchange, Exchange::Attempt(_));
+        let is_usable = c.connecting || c.write_queue.flush(&mut c.stream).is_ok();
         self.count_if_written(connection);
         is_usable
     }
 
-    /// Counts an attempt once it is written completely.
+    /// Adds the connection's attempt to the number of sends once it is written completely.
     pub(super) fn count_if_written(&mut self, connection: usize) {
         let c = &mut self.connections[connection];
-        if c.uncounted && c.exchange.is_some() && c.is_written() {
-            c.uncounted = false;
+        if c.send_count_pending && c.exchange.is_some() && c.is_written() {
+            c.send_count_pending = false;
             self.sends += 1;
         }
     }
 
-    /// Abandons the exchange of a connection. Returns whether it may have run.
+    /// Abandons the exchange of a connection. Returns whether the server may have executed the request.
+    ///
+    /// The connection is closed, unless nothing of the request has been written.
     pub(crate) fn abandon(&mut self, connection: usize, now: Micros) -> bool {
         let Some(c) = self.connections.get_mut(connection) else {
             return false;
@@ -353,7 +366,7 @@
         let may_have_run = c.is_written();
         c.exchange = None;
         if c.is_unwritten() {
-            (c.out, c.unconfirmed) = (WriteQueue::default(), false);
+            (c.write_queue, c.awaits_confirmation) = (WriteQueue::default(), false);
             self.make_idle(connection, now);
         } else {
             self.close(connection, ConnectionStep::AttemptAbandoned);
@@ -361,7 +374,8 @@
         may_have_run
     }
 
-    /// Returns a connection to its pool.
+    /// Returns a connection to its pool, or closes it if its server has another address or protocol now or is no longer
+    /// listed.
     pub(super) fn make_idle(&mut self, connection: usize, now: Micros) {
         if !self.is_current(connection) {
             return self.close(connection, ConnectionStep::NotNeeded);
@@ -373,7 +387,7 @@
         }
     }
 
-    /// Whether a connection goes to the address, and speaks the protocol, under which its server is listed now.
+    /// Whether the address and protocol of a connection are those of its server's current entry in the endpoint list.
     pub(crate) fn is_current(&self, connection: usize) -> bool {
         let c = &self.connections[connection];
         self.pools.get(&c.server).is_some_and(|pool| {
@@ -391,13 +405,13 @@
         self.record_step(connection, step);
         let c = self.connections.remove(connection);
         if let Some(pool) = self.pools.get_mut(&c.server) {
-            pool.open -= 1;
+            pool.open_count -= 1;
             pool.idle.retain(|idle| *idle != connection);
         }
         self.remove_unused_pool(&c.server);
     }
 
-    /// Closes the connection that has been idle longest; false if none is idle.
+    /// Closes the connection that has been idle longest. Returns false if none is idle.
     pub(crate) fn close_longest_idle(&mut self) -> bool {
         let oldest = self.pools.values().filter_map(|pool| pool.idle.first());
         let oldest = oldest
@@ -408,7 +422,7 @@
             .is_some()
     }
 
-    /// The time for opening a connection or for a probe is over.
+    /// Handles the timeout of the opening of a connection or of a probe request.
     pub(crate) fn timer_expired(&mut self, connection: usize, serial: u64) {
         let c = self.connections.get(connection);
         let Some(c) = c.filter(|c| c.serial == serial) else {
@@ -425,33 +439,34 @@
         }
     }
 
-    /// Closes connections that have been idle too long, and ends long values that have stopped arriving.
+    /// Closes connections that have been idle too long, fails those whose long value has stopped arriving, and repeats
+    /// incomplete writes.
     pub(crate) fn sweep(&mut self, now: Micros) {
-        let is_old =
+        let is_expired =
             |c: &UpstreamConnection<S>| c.exchange.is_none() && now - c.idle_since >= self.max_idle;
         let is_stalled = |c: &UpstreamConnection<S>| {
-            c.starved_since
-                .is_some_and(|since| now - since >= MAX_VALUE_PAUSE)
+            c.value_stalled_since
+                .is_some_and(|since| now - since >= VALUE_STALL_TIMEOUT)
         };
-        let old = self.keys_where(is_old);
+        let expired = self.keys_where(is_expired);
         let stalled = self.keys_where(is_stalled);
-        for connection in old {
+        for connection in expired {
             self.close(connection, ConnectionStep::IdleTimeout);
         }
         for connection in stalled {
             self.fail(connection);
         }
-        let unfinished = self.keys_where(|c| !c.is_unwritten() && !c.out.is_empty());
+        let unfinished = self.keys_where(|c| !c.is_unwritten() && !c.write_queue.is_empty());
         for connection in unfinished {
             self.flush(connection);
         }
     }
 
-    /// Writes what the kernel takes of a connection's request.
+    /// Writes as much of a connection's request as the kernel accepts.
     pub(super) fn flush(&mut self, connection: usize) {
         let c = &mut self.connections[connection];
-        // If the connection is broken, reading shows it.
-        let _ = c.out.flush(&mut c.stream);
+        // An error is ignored here: if the connection has failed, the next read reports it.
+        let _ = c.write_queue.flush(&mut c.stream);
         self.count_if_written(connection);
     }
 
--- a/crates/node/src/upstream/probes.rs
+++ b/crates/node/src/upstream/probes.rs
@@ -10,10 +10,10 @@
     pub(crate) started: Micros,
 }
 
-/// The probes in flight, by serial. Each ends by its response or its timeout, which bounds them.
+/// The probes in flight, by serial number. Their number is bounded, since each ends with its response or its timeout.
 pub(crate) struct Probes {
     in_flight: HashMap<u64, Probe>,
-    /// Probes ask for a load report.
+    /// RESP2 probes request a load report.
     pub(crate) with_load: bool,
 }
 
@@ -29,7 +29,7 @@
         self.in_flight.insert(serial, Probe { server, started });
     }
 
-    /// Takes a probe that has ended.
+    /// Removes a probe that has ended. Returns None if no such probe is in flight.
     pub(crate) fn remove(&mut self, serial: u64) -> Option<Probe> {
         self.in_flight.remove(&serial)
     }
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! Encodes requests for cache servers, in RESP2 or the memcached binary protocol. No state.
+//! Encodes requests for cache servers in RESP2 or the memcached binary protocol. The module holds no state.
 
 use bytes::Bytes;
 use sloewick_codec::memcached::{self, write_request, Opcode, HEADER, MAX_KEY};
@@ -10,21 +10,22 @@
 use crate::upstream::connection::EncodedRequest;
 use crate::upstream::response_reader::RequestTag;
 
-/// Written in place of the idempotency key of a write that has none.
+/// Replaces the idempotency key in a memcached write that has none.
 const NO_IDEMPOTENCY_KEY: &[u8] = b"-";
 
-/// The request in RESP2: as it came, except for the deadline, which is the time that this node will wait.
-pub(crate) fn encode_resp2(request: &PendingRequest, wait: Micros) -> EncodedRequest {
-    let fields = fields_with_deadline(&request.fields, wait);
+/// Encodes a request in RESP2, as the client sent it except for the deadline: it becomes `timeout`, the time that this node
+/// waits for the response.
+pub(crate) fn encode_resp2(request: &PendingRequest, timeout: Micros) -> EncodedRequest {
+    let fields = fields_with_deadline(&request.fields, timeout);
     let mut out = Vec::with_capacity(128 + request.key.len() + fields.len());
-    let (words, name): (usize, &[u8]) = if request.value.is_some() {
+    let (arguments, name): (usize, &[u8]) = if request.value.is_some() {
         (5, b"C.SET")
     } else {
         (4, b"C.GET")
     };
-    write_header(&mut out, b'*', words);
-    for word in [name, &request.key, request.id.as_bytes(), &fields] {
-        write_bulk(&mut out, word);
+    write_header(&mut out, b'*', arguments);
+    for argument in [name, &request.key, request.id.as_bytes(), &fields] {
+        write_bulk(&mut out, argument);
     }
     let chunks = match &request.value {
         None => vec![out.into()],
@@ -43,15 +44,16 @@
     }
 }
 
-fn fields_with_deadline(fields: &[u8], wait: Micros) -> Vec<u8> {
-    let wait_ms = (wait + 999) / 1000;
+/// Copies the fields and sets the deadline field `d` to the timeout, rounded up to whole milliseconds.
+fn fields_with_deadline(fields: &[u8], timeout: Micros) -> Vec<u8> {
+    let timeout_ms = (timeout + 999) / 1000;
     let mut out = Vec::with_capacity(fields.len() + 8);
     for field in fields.split(|b| *b == b',') {
         if !out.is_empty() {
             out.push(b',');
         }
         if field.starts_with(b"d=") {
-            out.extend_from_slice(format!("d={wait_ms}").as_bytes());
+            out.extend_from_slice(format!("d={timeout_ms}").as_bytes());
         } else {
             out.extend_from_slice(field);
         }
@@ -59,14 +61,16 @@
     out
 }
 
-/// Whether a request can be encoded in the memcached binary protocol: its key is short enough, and an idempotency key that
-/// precedes the value neither ends early nor looks like none, which would let a duplicate take effect.
+/// Whether a request can be encoded in the memcached binary protocol. Its key must be short enough. An idempotency key,
+/// which is written before the value, must not be empty, contain the separator or equal the placeholder: the server would
+/// read a shorter key or none, and a duplicate could take effect.
 pub(crate) fn fits_memcached(request: &PendingRequest) -> bool {
     let is_encodable =
         |key: &[u8]| !key.is_empty() && key != NO_IDEMPOTENCY_KEY && !key.contains(&b':');
     request.key.len() <= MAX_KEY && idempotency_key(request).is_none_or(is_encodable)
 }
 
+/// The idempotency key in the fields of a request; None if it has none.
 fn idempotency_key(request: &PendingRequest) -> Option<&[u8]> {
     request
         .fields
@@ -74,10 +78,11 @@
         .find_map(|field| field.strip_prefix(b"k="))
 }
 
-/// The request in the memcached binary protocol; `sequence` counts the requests of this node in that protocol.
+/// Encodes a request in the memcached binary protocol. `sequence`: number of the request among those of this node in that
+/// protocol.
 ///
-/// The value of a write follows its idempotency key (a hyphen where it has none) and a colon: the protocol has no field for
-/// the key, and the server needs it to deduplicate.
+/// The body of a write is its idempotency key (a hyphen if it has none), a colon and the value. The protocol has no field
+/// for the key, and the server needs it to deduplicate.
 pub(crate) fn encode_memcached(request: &PendingRequest, sequence: u16) -> EncodedRequest {
     let opaque = opaque(request, sequence);
     match &request.value {
@@ -131,9 +136,9 @@
     }
 }
 
-/// The opaque of a memcached request. Its upper half counts the requests of this node, so that a late response to an earlier
-/// one is recognised whatever a client makes of its own opaques (some are always 0). Its lower half is that of the client, or
-/// a hash of the request's id, so that the request can be found in the log of a server.
+/// The opaque field of a memcached request. Its upper 16 bits are the sequence number, so that a late response to an
+/// earlier request is recognised however clients choose their own opaques (some always send 0). Its lower 16 bits are those
+/// of the client's opaque, or of a hash of the request's id, so that the request can be found in the log of a server.
 fn opaque(request: &PendingRequest, sequence: u16) -> u32 {
     let lower = match request.protocol {
         RequestProtocol::Memcached { opaque, .. } => opaque,
@@ -142,7 +147,7 @@
     u32::from(sequence) << 16 | (lower & 0xffff)
 }
 
-/// FNV-1a of 32 bits.
+/// The 32-bit FNV-1a hash.
 fn fnv1a(bytes: &[u8]) -> u32 {
     const OFFSET_BASIS: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
@@ -151,17 +156,17 @@
     })
 }
 
-/// A probe request in RESP2; `with_load`: it asks for a load report.
+/// Encodes a probe request in RESP2. `with_load`: the probe requests a load report.
 pub(crate) fn encode_resp2_probe(with_load: bool) -> EncodedRequest {
-    let words: &[&[u8]] = if with_load {
+    let arguments: &[&[u8]] = if with_load {
         &[b"INFO", b"load"]
     } else {
         &[b"PING"]
     };
     let mut out = Vec::new();
-    write_header(&mut out, b'*', words.len());
-    for word in words {
-        write_bulk(&mut out, word);
+    write_header(&mut out, b'*', arguments.len());
+    for argument in arguments {
+        write_bulk(&mut out, argument);
     }
     EncodedRequest {
         chunks: vec![out.into()],
@@ -169,7 +174,7 @@
     }
 }
 
-/// A probe request in the memcached binary protocol.
+/// Encodes a probe request in the memcached binary protocol; its opaque is the lower half of `serial`.
 pub(crate) fn encode_memcached_probe(serial: u64) -> EncodedRequest {
     let (opcode, opaque) = (Opcode::Noop as u8, serial as u32);
     let mut out = Vec::new();
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -1,4 +1,5 @@
-//! Interprets the responses of cache servers: how the attempt ended, the cache result, the load report. No state.
+//! Interprets the responses of cache servers: the status of the attempt, the cache result and the load report. The module
+//! holds no state.
 
 use sloewick_codec::memcached;
 use sloewick_codec::resp2::{Element, Reply};
@@ -9,7 +10,7 @@
 use crate::frontend::response::FinalResponse;
 use crate::upstream::response_reader::ServerReply;
 
-/// What a response says about its attempt.
+/// The result of an attempt or a probe, as its response reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AttemptResult {
     pub(crate) status: Status,
@@ -18,7 +19,7 @@
 }
 
 impl AttemptResult {
-    /// A result without cache result and load report.
+    /// A result with neither cache result nor load report.
     pub(crate) fn of(status: Status) -> AttemptResult {
         AttemptResult {
             status,
@@ -28,16 +29,16 @@
     }
 }
 
-/// What a response says about its attempt; `write`: the request was a write.
-pub(crate) fn interpret(reply: &ServerReply, write: bool) -> AttemptResult {
+/// Returns the result of the attempt that a response belongs to. `is_write`: the request was a write.
+pub(crate) fn interpret(reply: &ServerReply, is_write: bool) -> AttemptResult {
     match reply {
         ServerReply::Resp2(reply) => interpret_resp2(reply),
-        ServerReply::Memcached(response) => interpret_memcached(response, write),
+        ServerReply::Memcached(response) => interpret_memcached(response, is_write),
     }
 }
 
-fn interpret_memcached(response: &memcached::Response, write: bool) -> AttemptResult {
-    let operation = if write {
+fn interpret_memcached(response: &memcached::Response, is_write: bool) -> AttemptResult {
+    let operation = if is_write {
         Operation::Set
     } else {
         Operation::Get
@@ -54,32 +55,32 @@
 
 fn interpret_resp2(reply: &Reply) -> AttemptResult {
     match reply {
-        Reply::Array(parts) => {
-            let status = if matches!(parts[0], Element::Bulk(_)) {
+        Reply::Array(elements) => {
+            let status = if matches!(elements[0], Element::Bulk(_)) {
                 Status::Ok
             } else {
                 Status::Error
             };
             AttemptResult {
                 status,
-                cache_result: parts.get(1).and_then(parse_cache_result),
-                load: parts.get(2).and_then(parse_load_report),
+                cache_result: elements.get(1).and_then(parse_cache_result),
+                load: elements.get(2).and_then(parse_load_report),
             }
         }
-        Reply::Single(part) => {
-            let status = match part {
+        Reply::Single(element) => {
+            let status = match element {
                 Element::Error(line) if line.starts_with(b"BUSY") => Status::Rejected,
                 _ => Status::Error,
             };
             AttemptResult {
-                load: parse_load_report(part),
+                load: parse_load_report(element),
                 ..AttemptResult::of(status)
             }
         }
     }
 }
 
-/// What a response says about a probe: a server that answers it with a text is alive.
+/// Returns the result of a probe. A RESP2 server that replies with a simple or bulk string counts as alive.
 pub(crate) fn interpret_probe(reply: &ServerReply) -> AttemptResult {
     let result = interpret(reply, false);
     match reply {
@@ -91,10 +92,10 @@
     }
 }
 
-/// The final response that a served attempt gives.
+/// The final response to the client for the response of a served attempt.
 pub(crate) fn final_response(reply: ServerReply) -> FinalResponse {
     match reply {
-        ServerReply::Resp2(Reply::Array(mut parts)) => match parts.swap_remove(0) {
+        ServerReply::Resp2(Reply::Array(mut elements)) => match elements.swap_remove(0) {
             Element::Bulk(value) => FinalResponse::Value(value),
             _ => FinalResponse::NoValue,
         },
@@ -108,8 +109,8 @@
     }
 }
 
-fn parse_cache_result(part: &Element) -> Option<CacheResult> {
-    let (Element::Bulk(word) | Element::Simple(word)) = part else {
+fn parse_cache_result(element: &Element) -> Option<CacheResult> {
+    let (Element::Bulk(word) | Element::Simple(word)) = element else {
         return None;
     };
     match &word[..] {
@@ -120,9 +121,10 @@
     }
 }
 
-/// The load report at the end of a text: `name=value` pairs separated by commas.
-fn parse_load_report(part: &Element) -> Option<LoadReport> {
-    let (Element::Bulk(text) | Element::Simple(text) | Element::Error(text)) = part else {
+/// Parses the load report that is the last word of a text: `name=value` pairs separated by commas. Returns None if it holds
+/// no number under a known name.
+fn parse_load_report(element: &Element) -> Option<LoadReport> {
+    let (Element::Bulk(text) | Element::Simple(text) | Element::Error(text)) = element else {
         return None;
     };
     let text = std::str::from_utf8(text).ok()?.rsplit(' ').next()?;
--- a/crates/node/src/upstream/response_reader.rs
+++ b/crates/node/src/upstream/response_reader.rs
@@ -1,4 +1,4 @@
-//! Splits the bytes of a cache server into responses, in the protocol that it speaks. A long value is read piece by piece.
+//! Splits the bytes that a cache server sends into responses of its protocol. A long value is returned in chunks.
 
 use bytes::{Bytes, BytesMut};
 use sloewick_codec::memcached::{self, Response};
@@ -7,10 +7,10 @@
 
 use crate::frontend::response::Protocol;
 
-/// Longest body of a memcached response: a value with its key and flags.
+/// Longest body of a memcached response in bytes: a value with its key and flags.
 const MAX_BODY: usize = MAX_VALUE + 1024;
 
-/// What the response to a memcached request repeats of it; zero in RESP2.
+/// The fields of a memcached request that its response repeats; zero in RESP2.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestTag {
     pub(crate) opcode: u8,
@@ -24,17 +24,17 @@
     Memcached(Response),
 }
 
-/// The next part of a response.
+/// A part of a response, in the order in which it arrives.
 pub(crate) enum ResponsePart {
     /// A complete response, or the end of a long value.
     Complete(ServerReply),
-    /// The start of a long value of `len` bytes; `tag`: the request that it answers (memcached).
+    /// The start of a long value of `len` bytes. `tag`: that of its request; None in RESP2.
     ValueStart { len: usize, tag: Option<RequestTag> },
     /// Bytes of a long value.
     ValueBytes(Bytes),
 }
 
-/// The server has violated its protocol.
+/// The bytes from a server violate its protocol.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("malformed response")]
 pub(crate) struct MalformedResponse;
@@ -67,18 +67,18 @@
         }
     }
 
-    /// The next part; none if `buf` holds no complete one.
+    /// Returns the next part of a response and removes it from `buf`. Returns None if `buf` holds no complete part.
     ///
     /// # Errors
-    /// The bytes are no response, or a long one that is no value.
+    /// Returns an error if the bytes are not a response, or are a long memcached response that is not a value.
     pub(crate) fn next(
         &mut self,
         buf: &mut BytesMut,
     ) -> Result<Option<ResponsePart>, MalformedResponse> {
         match self {
             ResponseReader::Resp2(reader) => {
-                let piece = reader.next(buf).map_err(|_| MalformedResponse)?;
-                Ok(piece.map(|piece| match piece {
+                let event = reader.next(buf).map_err(|_| MalformedResponse)?;
+                Ok(event.map(|event| match event {
                     DecodeEvent::Complete(reply) => {
                         ResponsePart::Complete(ServerReply::Resp2(reply))
                     }
@@ -87,19 +87,19 @@
                 }))
             }
             ResponseReader::Memcached(reader) => {
-                let piece = reader.next(buf, MAX_BODY).map_err(|_| MalformedResponse)?;
-                piece.map(memcached_part).transpose()
+                let event = reader.next(buf, MAX_BODY).map_err(|_| MalformedResponse)?;
+                event.map(memcached_part).transpose()
             }
         }
     }
 }
 
-fn memcached_part(piece: memcached::DecodeEvent) -> Result<ResponsePart, MalformedResponse> {
-    match piece {
+fn memcached_part(event: memcached::DecodeEvent) -> Result<ResponsePart, MalformedResponse> {
+    match event {
         memcached::DecodeEvent::Complete(response) => {
             Ok(ResponsePart::Complete(ServerReply::Memcached(response)))
         }
-        // Only a value may be long.
+        // Only a successful response, which is a value, may be long.
         memcached::DecodeEvent::ValueStart(header, _) if header.status != 0 => {
             Err(MalformedResponse)
         }
--- a/crates/node/src/upstream/response_tests.rs
+++ b/crates/node/src/upstream/response_tests.rs
@@ -10,10 +10,16 @@
 }
 
 #[test]
-fn replies_mean_what_the_protocol_specification_says() {
+fn resp2_replies_give_the_status_cache_result_and_load_report_of_the_specification() {
     let bulk = |text: &'static str| Element::Bulk(Bytes::from_static(text.as_bytes()));
     let interpret = |reply| interpret(&ServerReply::Resp2(reply), false);
-    let served = |how: Element| interpret(Reply::Array(vec![bulk("value"), how, Element::Null]));
+    let served = |cache_result: Element| {
+        interpret(Reply::Array(vec![
+            bulk("value"),
+            cache_result,
+            Element::Null,
+        ]))
+    };
     for (word, cache_result) in [
         ("hit", CacheResult::Hit),
         ("miss", CacheResult::Miss),
