--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The node's side of discovery: where the endpoint list comes from, and which server each address belongs to.
+//! The node's discovery client: requests the endpoint list, and records the servers' addresses and start times.
 
 pub(crate) mod client;
 pub mod endpoints;
@@ -10,7 +10,7 @@
 use client::DiscoveryClient;
 use server_starts::ServerStarts;
 
-/// The connection to discovery, and the addresses and starts of the endpoint list's servers.
+/// The discovery client, and the addresses and start times of the servers in the endpoint list.
 pub(crate) struct Discovery<S> {
     pub(crate) client: DiscoveryClient<S>,
     pub(crate) addresses: AddressTable,
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -1,16 +1,19 @@
-//! Requests to discovery over HTTP/1.1: the full endpoint list, and the watch on its changes.
+//! The client of the discovery service: requests the full endpoint list, and watches it for changes, over HTTP/1.1.
 //!
-//! The first watch begins with the process: the list of the configuration may be old, and a change that it lacks may have
-//! been announced long ago. A watch continues by itself: its next request follows each answer at once, since a gap of over
-//! 200 ms would begin a new watch. A request that has failed is reported, and followed by another one after the schedule's
-//! pause.
+//! The first watch starts with the process, because the list in the configuration may be old and may lack a change that was
+//! announced long ago. A watch is a series of long-poll requests. The next request follows each response at once, since a
+//! gap of over 200 ms would start a new watch. A failed request is reported, and followed by another one after the delay
+//! that the schedule gives.
 //!
-//! A watch that is silent can't be told from one without news. Behind a start, a move or a failure a change may have been
-//! missed, and counts as announced a bounded time after discovery had it. The requests from then on are such whose silence
-//! shows soon, until one is answered (`WatchStage`).
+//! A lost watch request looks like one without changes: no response arrives. After a start, a move of discovery or a
+//! failure, the node may have missed a change, which counts as announced a bounded time after discovery had it. Therefore
+//! the requests that follow have short waits, so that a missing response is noticed soon, until one is answered
+//! (`WatchStage`).
 //!
-//! Guarantees: one request at a time, each with a timeout and a bounded answer; an answer that is cut or older than the list
-//! already known is never taken for a list; a failed request is followed by another one within the retry interval.
+//! Guarantees: at most one request is in flight; each has a timeout, and the length of its response is bounded. A truncated
+//! response is never applied as an endpoint list. Of a list that is older than the known one, only the drains are applied,
+//! unless discovery has restarted its numbering. A failed request is followed by another one within the longest retry delay
+//! of the schedule.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -24,44 +27,49 @@
 use crate::discovery::request::{
     DiscoveryError, DiscoveryRequest, Failures, PendingRequest, RequestFailure,
 };
-use crate::discovery::schedule::{answer_timeout, connect_timeout, PollSchedule, WatchStage};
+use crate::discovery::schedule::{connect_timeout, response_timeout, PollSchedule, WatchStage};
 use crate::timers::{TimerEvent, Timers};
 use crate::transport::{fill, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue};
 
-/// Pause after a watch that was answered within this time with nothing new, lest it become a busy loop. The first one is still
-/// within the 200 ms in which a watch continues; it doubles with each further such answer.
-const WATCH_PAUSE: Micros = 100_000;
-const MAX_WATCH_PAUSE_DOUBLINGS: u32 = 3;
+/// Delay of the next request after a request that was answered within this time without a change, which prevents a busy
+/// loop. The first delay is below the 200 ms within which a watch continues; it doubles with each further such response.
+const WATCH_BACKOFF: Micros = 100_000;
+const MAX_WATCH_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// What the requests have brought.
+/// The start or the result of a request to discovery.
 pub(crate) enum DiscoveryEvent {
-    /// A request has been started that does not merely continue a watch which was answered.
+    /// A request has been started, other than one that continues a watch whose last request was answered.
     Requested(DiscoveryRequest),
+    /// The full endpoint list, or the entries that have changed, possibly none.
     List(EndpointList),
     Failed(RequestFailure),
 }
 
-/// The connection to discovery.
+/// Sends requests to discovery, one at a time, and reads the responses.
 pub(crate) struct DiscoveryClient<S> {
     address: SocketAddr,
     token: Token,
+    /// Revision of the known list; None if discovery has moved since.
     revision: Option<i64>,
     watching: bool,
-    full_list_wanted: bool,
+    needs_full_list: bool,
     stage: WatchStage,
-    /// An answer was older than the list known: only a full list is accepted next.
-    revision_suspect: bool,
-    not_before: Micros,
+    /// A response was older than the known list: the next request is for the full list, which is accepted even if it is
+    /// older.
+    is_revision_suspect: bool,
+    /// The next request starts no earlier than this.
+    next_request_at: Micros,
     failures: Failures,
-    /// Answers in a row that came at once and brought nothing new.
-    hasty_answers: u32,
+    /// Number of successive responses that arrived within [`WATCH_BACKOFF`] without a change.
+    immediate_empty_responses: u32,
     schedule: PollSchedule,
     pending: Option<PendingRequest<S>>,
+    /// Serial number of the last request or timer.
     serial: u64,
 }
 
 impl<S: Stream> DiscoveryClient<S> {
-    /// `revision`: that of the list in the configuration.
+    /// Creates a client that starts with a watch. `revision`: that of the list in the configuration.
     pub(crate) fn new(
         address: SocketAddr,
         token: Token,
@@ -73,29 +81,29 @@
             token,
             revision: Some(revision),
             watching: true,
-            full_list_wanted: false,
+            needs_full_list: false,
             stage: WatchStage::Started,
-            revision_suspect: false,
-            not_before: 0,
+            is_revision_suspect: false,
+            next_request_at: 0,
             failures: Failures::default(),
-            hasty_answers: 0,
+            immediate_empty_responses: 0,
             schedule,
             pending: None,
             serial: 0,
         }
     }
 
-    /// Starts or ends the watch, as the decision module decides.
+    /// Starts or ends the watch, as the decision module requests. A pushed list is always watched.
     pub(crate) fn subscribe(&mut self, on: bool) {
-        self.watching = on || self.schedule.pushed;
+        self.watching = on || self.schedule.is_pushed;
         if !self.watching {
             self.cancel_watch();
         }
     }
 
-    /// Requests the full list once. A watch that waits is ended for it and continues afterwards.
+    /// Requests the full list once. A watch request in flight is cancelled, and the watch continues afterwards.
     pub(crate) fn fetch(&mut self) {
-        self.full_list_wanted = true;
+        self.needs_full_list = true;
         self.cancel_watch();
     }
 
@@ -103,63 +111,63 @@
         self.pending.take_if(|p| p.request.is_watch());
     }
 
-    /// Discovery has moved to another address. It may number its revisions anew, so that the known one means nothing there:
-    /// the full list is requested at once, and a watch continues behind it.
+    /// Handles a move of discovery to another address. The revisions there may be numbered differently, so that the known
+    /// one is meaningless: the full list is requested at once, and the watch continues after it.
     pub(crate) fn change_address(&mut self, address: SocketAddr) {
         if address != self.address {
             self.address = address;
             self.revision = None;
             self.stage = WatchStage::Recovering;
-            self.not_before = 0;
+            self.next_request_at = 0;
             self.failures = Failures::default();
             self.pending = None;
-            self.full_list_wanted = true;
+            self.needs_full_list = true;
         }
     }
 
-    /// Starts the next request, unless one is in flight or none is wanted.
+    /// Starts the next request, unless one is in flight, a delay is running or no request is needed.
     pub(crate) fn start_request(
         &mut self,
         net: &mut impl Transport<Stream = S>,
         timers: &mut Timers,
     ) -> Option<DiscoveryEvent> {
         let now = net.now();
-        let is_wanted = self.watching || self.full_list_wanted;
-        if self.pending.is_some() || now < self.not_before || !is_wanted {
+        let is_needed = self.watching || self.needs_full_list;
+        if self.pending.is_some() || now < self.next_request_at || !is_needed {
             return None;
         }
         let request = self.next_request();
         let timeout = self.schedule.timeout(request, self.failures);
-        let give_up_at = now + connect_timeout(timeout);
+        let timeout_at = now + connect_timeout(timeout);
         self.serial += 1;
         let serial = self.serial;
         let Ok(stream) = net.connect(self.address, self.token) else {
-            return Some(self.fail(DiscoveryError::NoConnection, now, timers));
+            return Some(self.fail(DiscoveryError::ConnectFailed, now, timers));
         };
-        let mut out = WriteQueue::default();
+        let mut write_queue = WriteQueue::default();
         let (host, path) = (self.address, request.path());
-        out.push(Bytes::from(format!(
+        write_queue.push(Bytes::from(format!(
             "GET {path} HTTP/1.1\r\nHost: {host}\r\nConnection: close\r\n\r\n"
         )));
-        timers.set(give_up_at, TimerEvent::Discovery { serial });
+        timers.set(timeout_at, TimerEvent::Discovery { serial });
         self.pending = Some(PendingRequest {
             stream,
             request,
-            out,
-            buf: BytesMut::new(),
+            write_queue,
+            read_buffer: BytesMut::new(),
             serial,
             started: now,
             is_connected: false,
-            give_up_at,
-            answer_by: now + timeout,
+            timeout_at,
+            response_timeout_at: now + timeout,
         });
-        let is_first = matches!(self.stage, WatchStage::Started | WatchStage::Recovering);
-        let continues_watch = request.is_watch() && !is_first;
+        let starts_watch = matches!(self.stage, WatchStage::Started | WatchStage::Recovering);
+        let continues_watch = request.is_watch() && !starts_watch;
         (!continues_watch).then_some(DiscoveryEvent::Requested(request))
     }
 
     fn next_request(&self) -> DiscoveryRequest {
-        let accepts_changes = !self.full_list_wanted && !self.revision_suspect;
+        let accepts_changes = !self.needs_full_list && !self.is_revision_suspect;
         match self.revision.filter(|_| accepts_changes) {
             Some(since) => DiscoveryRequest::Watch {
                 since,
@@ -169,15 +177,15 @@
         }
     }
 
-    /// The time for a request is over.
+    /// Handles an expired timer. Fails the request in flight if `serial` is its number and its timeout has passed.
     pub(crate) fn timer_expired(
         &mut self,
         serial: u64,
         now: Micros,
         timers: &mut Timers,
     ) -> Option<DiscoveryEvent> {
-        let is_over = |p: &PendingRequest<S>| p.serial == serial && now >= p.give_up_at;
-        let pending = self.pending.as_ref().filter(|p| is_over(p))?;
+        let has_timed_out = |p: &PendingRequest<S>| p.serial == serial && now >= p.timeout_at;
+        let pending = self.pending.as_ref().filter(|p| has_timed_out(p))?;
         let error = if pending.is_connected {
             DiscoveryError::Timeout
         } else {
@@ -186,7 +194,7 @@
         Some(self.fail(error, now, timers))
     }
 
-    /// An event on the socket of the request.
+    /// Handles a readiness event of the request's socket.
     pub(crate) fn ready(
         &mut self,
         event: &ReadyEvent,
@@ -196,101 +204,104 @@
     ) -> Option<DiscoveryEvent> {
         let pending = self.pending.as_mut()?;
         let mut has_failed = matches!(pending.stream.take_error(), Ok(Some(_)) | Err(_));
-        if !has_failed && event.writable && !pending.out.is_empty() {
+        if !has_failed && event.writable && !pending.write_queue.is_empty() {
             match pending.stream.check_connected() {
                 Err(e) if e.kind() == ErrorKind::NotConnected => return None,
-                _ => has_failed = pending.out.flush(&mut pending.stream).is_err(),
+                _ => has_failed = pending.write_queue.flush(&mut pending.stream).is_err(),
             }
             pending.connected(timers);
         }
-        let mut has_ended = false;
-        let was_silent = pending.buf.is_empty();
+        let mut input_ended = false;
+        let was_empty = pending.read_buffer.is_empty();
         loop {
-            match fill(&mut pending.stream, &mut pending.buf, scratch) {
-                ReadOutcome::Closed => has_ended = true,
+            match fill(&mut pending.stream, &mut pending.read_buffer, scratch) {
+                ReadOutcome::Closed => input_ended = true,
                 ReadOutcome::Failed => has_failed = true,
                 ReadOutcome::Empty => {}
-                _ if pending.buf.len() > http1::MAX_HEAD + http1::MAX_BODY => {
-                    return Some(self.fail(DiscoveryError::AnswerTooLong, now, timers));
+                _ if pending.read_buffer.len() > http1::MAX_HEAD + http1::MAX_BODY => {
+                    return Some(self.fail(DiscoveryError::ResponseTooLong, now, timers));
                 }
                 ReadOutcome::More => continue,
             }
             break;
         }
-        // Guards against a cut list: a reset is no end, so that only an answer which states its end can be complete.
-        match http1::response_body(&pending.buf, has_ended && !has_failed) {
-            Ok(None) if has_failed => {
-                Some(self.fail(DiscoveryError::ConnectionFailed, now, timers))
-            }
+        // Guards against a truncated list: a reset does not mark the end of a response, so that after one only a response
+        // that states its own end can be complete.
+        match http1::response_body(&pending.read_buffer, input_ended && !has_failed) {
+            Ok(None) if has_failed => Some(self.fail(DiscoveryError::ConnectionLost, now, timers)),
             Ok(None) => {
-                if was_silent && !pending.buf.is_empty() {
-                    self.answer_began(now, timers);
+                if was_empty && !pending.read_buffer.is_empty() {
+                    self.response_started(now, timers);
                 }
                 None
             }
-            Ok(Some(body)) => Some(self.answered(&body, now, timers)),
-            Err(why) => Some(self.fail(DiscoveryError::Http(why), now, timers)),
+            Ok(Some(body)) => Some(self.handle_response(&body, now, timers)),
+            Err(error) => Some(self.fail(DiscoveryError::Http(error), now, timers)),
         }
     }
 
-    /// The first bytes of an answer have come. It has a time of its own from now on, whatever the request may wait for.
-    fn answer_began(&mut self, now: Micros, timers: &mut Timers) {
+    /// Sets the timeout of the response, whose first bytes have arrived. It replaces that of the request, which includes
+    /// the wait.
+    fn response_started(&mut self, now: Micros, timers: &mut Timers) {
         if let Some(pending) = &mut self.pending {
-            pending.give_up_at = now + answer_timeout(self.failures);
+            pending.timeout_at = now + response_timeout(self.failures);
             let serial = pending.serial;
-            timers.set(pending.give_up_at, TimerEvent::Discovery { serial });
+            timers.set(pending.timeout_at, TimerEvent::Discovery { serial });
         }
     }
 
-    /// The body of an answer is complete.
-    fn answered(&mut self, body: &[u8], now: Micros, timers: &mut Timers) -> DiscoveryEvent {
+    /// Handles the complete body of a response.
+    fn handle_response(&mut self, body: &[u8], now: Micros, timers: &mut Timers) -> DiscoveryEvent {
         let parsed = serde_json::from_slice(body)
             .ok()
             .and_then(|value: Value| parse_endpoint_list(&value).ok());
         let Some(list) = parsed else {
-            return self.fail(DiscoveryError::NotAList, now, timers);
+            return self.fail(DiscoveryError::InvalidList, now, timers);
         };
         let Some(pending) = self.pending.take() else {
-            return self.fail(DiscoveryError::NoRequest, now, timers);
+            return self.fail(DiscoveryError::NoPendingRequest, now, timers);
         };
         if !pending.request.is_watch() && !list.all {
             return self.fail(DiscoveryError::PartialList, now, timers);
         }
         let is_older = self.revision.is_some_and(|known| list.rev < known);
-        if is_older && !(list.all && self.revision_suspect) {
+        if is_older && !(list.all && self.is_revision_suspect) {
             return self.accept_drains_of_older_list(list, now, timers);
         }
-        self.revision_suspect = false;
+        self.is_revision_suspect = false;
         self.failures = Failures::default();
         let is_newer = self.revision.is_none_or(|known| list.rev > known);
         self.revision = Some(list.rev);
-        self.full_list_wanted &= !list.all;
+        self.needs_full_list &= !list.all;
         let brings_change = is_newer && !list.targets.is_empty();
-        self.stage = self.stage.after_answer(brings_change);
-        if brings_change || now - pending.started >= WATCH_PAUSE {
-            self.hasty_answers = 0;
+        self.stage = self.stage.after_response(brings_change);
+        if brings_change || now - pending.started >= WATCH_BACKOFF {
+            self.immediate_empty_responses = 0;
         } else {
-            let doublings = self.hasty_answers.min(MAX_WATCH_PAUSE_DOUBLINGS);
-            self.hasty_answers = self.hasty_answers.saturating_add(1);
-            self.pause(now + (WATCH_PAUSE << doublings), timers);
+            let doublings = self
+                .immediate_empty_responses
+                .min(MAX_WATCH_BACKOFF_DOUBLINGS);
+            self.immediate_empty_responses = self.immediate_empty_responses.saturating_add(1);
+            self.delay_request(now + (WATCH_BACKOFF << doublings), timers);
         }
         DiscoveryEvent::List(list)
     }
 
-    /// An answer is older than the list known. Obeying it would bring back servers that were removed.
+    /// Handles a list that is older than the known one. Applying it would bring back servers that were removed, so only its
+    /// entries of draining and removed servers are applied, since it is safe to send a server no requests in any case.
     ///
-    /// If the full list is older too, discovery has begun to number anew. Its drains are obeyed at once, since leaving a
-    /// server out is safe either way, and the full list is requested again.
+    /// The full list is requested next. If it is older too, discovery has restarted its numbering, and that list is
+    /// applied.
     fn accept_drains_of_older_list(
         &mut self,
         list: EndpointList,
         now: Micros,
         timers: &mut Timers,
     ) -> DiscoveryEvent {
-        self.revision_suspect = true;
+        self.is_revision_suspect = true;
         self.stage = WatchStage::Recovering;
-        self.full_list_wanted = true;
-        self.pause(now + self.schedule.retry_pause, timers);
+        self.needs_full_list = true;
+        self.delay_request(now + self.schedule.retry_pause, timers);
         let not_live = list
             .targets
             .into_iter()
@@ -302,22 +313,22 @@
         })
     }
 
-    /// Ends the request, and sets the time of the next one.
+    /// Ends the request with an error, and sets the time of the next one.
     fn fail(&mut self, error: DiscoveryError, now: Micros, timers: &mut Timers) -> DiscoveryEvent {
         let started = self.pending.take().map_or(now, |pending| pending.started);
         self.stage = WatchStage::Recovering;
         self.failures.count(&error);
-        let pause = self.schedule.retry_pause_after(&error, self.failures);
-        self.pause(now + pause, timers);
+        let delay = self.schedule.retry_delay(&error, self.failures);
+        self.delay_request(now + delay, timers);
         DiscoveryEvent::Failed(RequestFailure {
             error,
-            lasted: now - started,
+            duration: now - started,
         })
     }
 
-    /// Starts no request before `until`, when the event loop asks for the next one.
-    fn pause(&mut self, until: Micros, timers: &mut Timers) {
-        self.not_before = until;
+    /// Delays the next request until `until`, and sets a timer that makes the event loop start it then.
+    fn delay_request(&mut self, until: Micros, timers: &mut Timers) {
+        self.next_request_at = until;
         self.serial += 1;
         let serial = self.serial;
         timers.set(until, TimerEvent::Discovery { serial });
--- a/crates/node/src/discovery/client_tests.rs
+++ b/crates/node/src/discovery/client_tests.rs
@@ -4,10 +4,10 @@
 const SECOND: Micros = 1_000_000;
 const DISCOVERY_TOKEN: Token = 7;
 
-// Guards against a cut answer that drops the servers which it no longer names: wherever the connection ends, it
-// is no list, whether its length was stated or its end is that of the connection.
+// Guards against a truncated response that removes the servers which it no longer contains. A response that is cut at any
+// byte must not parse as a list, whether it states its length or ends with the connection.
 #[test]
-fn answer_that_is_cut_at_any_byte_is_no_list() {
+fn response_truncated_at_any_byte_is_not_parsed_as_a_list() {
     let target = |uid| {
         format!(r#"{{"uid":"{uid}","endpoint":"10.1.0.18:6379","state":"in_service","boot_ms":0}}"#)
     };
@@ -44,16 +44,16 @@
     SocketAddr::from(([127, 0, 0, n], 80))
 }
 
-/// What follows an answer on its connection.
+/// The state of the connection after the response.
 #[derive(Clone, Copy, PartialEq)]
-enum AnswerEnd {
+enum ResponseEnd {
     Open,
     Closed,
     Reset,
 }
 
-/// The event that an answer to the first watch of a node leads to.
-fn answer_to_watch(answer: &str, end: AnswerEnd) -> Option<DiscoveryEvent> {
+/// Sends a response to the first watch of a node, and returns the client's event.
+fn respond_to_watch(response: &str, end: ResponseEnd) -> Option<DiscoveryEvent> {
     let mut discovery =
         DiscoveryClient::new(host(1), 7, 41, PollSchedule::new(true, 400 * MS, 0.5));
     let (mut net, mut timers) = (FakeTransport::default(), Timers::default());
@@ -66,31 +66,31 @@
     ));
     {
         let mut connection = net.opened[0].0.borrow_mut();
-        connection.input.extend(answer.bytes());
+        connection.input.extend(response.bytes());
         connection.connecting = false;
-        connection.input_ended = end == AnswerEnd::Closed;
-        connection.is_reset = end == AnswerEnd::Reset;
+        connection.input_ended = end == ResponseEnd::Closed;
+        connection.is_reset = end == ResponseEnd::Reset;
     }
     let event = input_ended(DISCOVERY_TOKEN);
     discovery.ready(&event, 0, &mut [0; 4096], &mut timers)
 }
 
-// The reset arrives behind the check for an error: only the read reports it.
+// The connection is reset after the client has checked the socket for an error, so that only the read reports it.
 #[test]
-fn reset_behind_a_list_without_length_fails_the_request() {
+fn reset_after_a_list_without_length_fails_the_request() {
     let body = r#"{"rev":42,"all":false,"targets":[]}"#;
     let open = format!("HTTP/1.1 200 OK\r\n\r\n{body}");
     assert!(
-        matches!(answer_to_watch(&open, AnswerEnd::Closed), Some(DiscoveryEvent::List(list)) if list.rev == 42)
+        matches!(respond_to_watch(&open, ResponseEnd::Closed), Some(DiscoveryEvent::List(list)) if list.rev == 42)
     );
     assert!(matches!(
-        answer_to_watch(&open, AnswerEnd::Reset),
+        respond_to_watch(&open, ResponseEnd::Reset),
         Some(DiscoveryEvent::Failed(RequestFailure {
-            error: DiscoveryError::ConnectionFailed,
+            error: DiscoveryError::ConnectionLost,
             ..
         }))
     ));
-    // An answer that states its end is complete, whatever comes behind it.
+    // A response that states its end is complete, even if a reset follows.
     let length = format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -99,13 +99,13 @@
         format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n23\r\n{body}\r\n0\r\n\r\n");
     for complete in [&length, &chunked] {
         assert!(
-            matches!(answer_to_watch(complete, AnswerEnd::Reset), Some(DiscoveryEvent::List(list)) if list.rev == 42),
+            matches!(respond_to_watch(complete, ResponseEnd::Reset), Some(DiscoveryEvent::List(list)) if list.rev == 42),
             "{complete}"
         );
         for cut in 0..complete.len() - 2 {
             assert!(
                 matches!(
-                    answer_to_watch(&complete[..cut], AnswerEnd::Reset),
+                    respond_to_watch(&complete[..cut], ResponseEnd::Reset),
                     Some(DiscoveryEvent::Failed(_))
                 ),
                 "{complete} at {cut}"
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn indented_list_is_read() {
+fn indented_list_is_parsed() {
     let body =
         "{\n  \"rev\": 42,\n  \"all\": true,\n  \"targets\": [\n    {\n      \"uid\": \"s-1\",\n      \
                 \"endpoint\": \"10.1.0.18:6379\",\n      \"state\": \"in_service\"\n    }\n  ]\n}\n";
@@ -124,11 +124,11 @@
         body.len()
     );
     assert!(
-        matches!(answer_to_watch(&text, AnswerEnd::Open), Some(DiscoveryEvent::List(list)) if list.targets.len() == 1)
+        matches!(respond_to_watch(&text, ResponseEnd::Open), Some(DiscoveryEvent::List(list)) if list.targets.len() == 1)
     );
 }
 
-/// A client whose watch has been requested, behind answered ones.
+/// A client in the steady stage whose next watch request is in flight.
 fn steady_watch(net: &mut FakeTransport, timers: &mut Timers) -> DiscoveryClient<FakeStream> {
     let schedule = PollSchedule::new(true, 2 * SECOND, 0.5);
     let mut discovery = DiscoveryClient::new(host(1), DISCOVERY_TOKEN, 41, schedule);
@@ -139,13 +139,13 @@
 }
 
 #[test]
-fn request_whose_connection_does_not_come_up_is_given_up_before_the_wait_of_its_watch() {
+fn request_without_a_connection_times_out_before_the_wait_of_its_watch() {
     let (mut net, mut timers) = (FakeTransport::default(), Timers::default());
     let mut discovery = steady_watch(&mut net, &mut timers);
     let at = timers.next().unwrap();
     assert!(at < 2 * SECOND, "{at}");
     let Some(TimerEvent::Discovery { serial }) = timers.pop_expired(at) else {
-        panic!("no timer of the request");
+        panic!("the request has set no timer");
     };
     let event = discovery.timer_expired(serial, at, &mut timers);
     assert!(matches!(
@@ -158,17 +158,20 @@
 }
 
 #[test]
-fn watch_whose_connection_has_come_up_keeps_its_wait() {
+fn watch_with_an_established_connection_does_not_time_out_within_its_wait() {
     let (mut net, mut timers) = (FakeTransport::default(), Timers::default());
     let mut discovery = steady_watch(&mut net, &mut timers);
     net.opened[0].0.borrow_mut().connecting = false;
     let event = connected(DISCOVERY_TOKEN);
-    let nothing = discovery.ready(&event, 0, &mut [0; 4096], &mut timers);
-    assert!(nothing.is_none());
-    while let Some(at) = timers.next().filter(|at| *at <= discovery.schedule.wait) {
+    let no_event = discovery.ready(&event, 0, &mut [0; 4096], &mut timers);
+    assert!(no_event.is_none());
+    while let Some(at) = timers
+        .next()
+        .filter(|at| *at <= discovery.schedule.steady_wait)
+    {
         if let Some(TimerEvent::Discovery { serial }) = timers.pop_expired(at) {
-            let nothing = discovery.timer_expired(serial, at, &mut timers);
-            assert!(nothing.is_none(), "given up after {at}");
+            let no_event = discovery.timer_expired(serial, at, &mut timers);
+            assert!(no_event.is_none(), "timed out after {at} us");
         }
     }
 }
--- a/crates/node/src/discovery/endpoints.rs
+++ b/crates/node/src/discovery/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it. No state.
+//! Parses the endpoint list that discovery sends. The module holds no state.
 
 use std::net::SocketAddr;
 
@@ -6,30 +6,30 @@
 use sloewick_decision::api::{ServerId, ServerState};
 use sloewick_decision::settings::{Fields, RawEndpoint, SettingsError};
 
-/// An entry of the list with the address of its server.
+/// An entry of the endpoint list, with the address and the start time of its server.
 pub struct ListedEndpoint {
-    /// The entry as the decision module reads it.
+    /// The fields that the decision module uses.
     pub entry: RawEndpoint,
-    /// Where the server is reached.
+    /// Address at which the server accepts connections.
     pub address: SocketAddr,
-    /// Unix time of the server's last start in milliseconds; 0: long ago.
+    /// Unix time of the server's last start in milliseconds; 0 if it started long ago.
     pub boot_ms: i64,
 }
 
-/// An answer of discovery.
+/// A response of discovery: the full endpoint list, or the entries that have changed.
 pub struct EndpointList {
     /// Revision of the list.
     pub rev: i64,
-    /// All endpoints are listed; otherwise those that have changed.
+    /// Whether `targets` holds all endpoints; otherwise it holds those that have changed.
     pub all: bool,
-    /// The endpoints.
+    /// The endpoints, in the order of the response.
     pub targets: Vec<ListedEndpoint>,
 }
 
-/// Reads an answer from its JSON.
+/// Parses the JSON of a response.
 ///
 /// # Errors
-/// The first field that is missing or of a wrong kind.
+/// Returns an error for the first field that is missing or has an invalid value.
 pub fn parse_endpoint_list(value: &Value) -> Result<EndpointList, SettingsError> {
     let fields = Fields::of(value, "known")?;
     let targets = fields
@@ -56,7 +56,10 @@
     let server: ServerId = fields.text("uid")?.into();
     let endpoint = fields.text("endpoint")?;
     let address = endpoint.parse().map_err(|_| {
-        SettingsError::new("endpoint", format!("{endpoint:?} is no address and port"))
+        SettingsError::new(
+            "endpoint",
+            format!("{endpoint:?} is not an IP address and port"),
+        )
     })?;
     let cell = fields
         .opt("pod_group")
@@ -87,7 +90,7 @@
         "terminated" => Ok(ServerState::Removed),
         other => Err(SettingsError::new(
             "state",
-            format!("{other:?} is no server state"),
+            format!("{other:?} is not a server state"),
         )),
     }
 }
--- a/crates/node/src/discovery/fleet_tests.rs
+++ b/crates/node/src/discovery/fleet_tests.rs
@@ -1,8 +1,8 @@
-//! A fleet of nodes before one discovery service, on virtual time: how soon all know a change after an outage, and how many
-//! requests a second the service gets.
+//! Simulates a fleet of nodes that share one discovery service, in virtual time. The tests check how soon all nodes have a
+//! change after an outage, and how many requests per second the service receives.
 //!
-//! The requests are those of [`DiscoveryClient`] and of the decision module's pauses; the service is a queue that works through
-//! requests in turn and rejects what would wait too long, as the protocol page describes it.
+//! The nodes use the real [`DiscoveryClient`] and the decision module's polling intervals. The service is modelled as a
+//! queue that processes requests in order and rejects those that would wait too long, as the protocol page describes it.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -16,54 +16,60 @@
 
 const SECOND: Micros = 1_000_000;
 const DISCOVERY_TOKEN: Token = 7;
-/// A change counts as announced this much after discovery had it and could be reached.
-const ANNOUNCED_AFTER: Micros = 6 * SECOND;
-const GRACE: Micros = 400_000;
-/// Nodes start within this time, unless a release starts all of them together.
-const STARTS: Micros = 5 * SECOND;
-const RELEASE_STARTS: Micros = SECOND;
-/// The calm time over which requests are counted.
-const CALM: (Micros, Micros) = (60 * SECOND, 120 * SECOND);
-/// All watches are reset, and the service stays up.
-const WATCHES_RESET: Micros = 120 * SECOND;
-const SETTLED: (Micros, Micros) = (140 * SECOND, 190 * SECOND);
-const OUTAGE_BEGINS: Micros = 190 * SECOND;
-/// Requests are counted for this long after the return.
-const RETURN: Micros = 10 * SECOND;
+/// Time after which a change counts as announced, once discovery has it and can be reached.
+const ANNOUNCEMENT_DELAY: Micros = 6 * SECOND;
+/// Time within which a node must apply a list that counts as announced.
+const DRAIN_GRACE: Micros = 400_000;
+/// The nodes start evenly spread over this time.
+const START_SPREAD: Micros = 5 * SECOND;
+/// The nodes start evenly spread over this time in a release, which restarts all of them.
+const RELEASE_START_SPREAD: Micros = SECOND;
+/// Period without faults over which requests are counted: start and end.
+const STEADY_PERIOD: (Micros, Micros) = (60 * SECOND, 120 * SECOND);
+/// Time at which all watches are reset, while the service stays up.
+const WATCH_RESET: Micros = 120 * SECOND;
+/// Period after the reset over which requests are counted once the fleet should be in the steady state again: start and
+/// end.
+const SETTLED_PERIOD: (Micros, Micros) = (140 * SECOND, 190 * SECOND);
+const OUTAGE_START: Micros = 190 * SECOND;
+/// How long requests are counted after the end of an outage, after a reset and after a release.
+const RECOVERY_PERIOD: Micros = 10 * SECOND;
 const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// A fleet and the service that it shares.
+/// The parameters of a fleet and of the service that it shares.
 #[derive(Clone, Copy, Debug)]
 struct Fleet {
     nodes: usize,
-    /// In which time the service takes one request from each node.
+    /// Time in which the service processes one request from each node.
     service_time: Micros,
-    /// The longest that a request waits in the queue before it is rejected.
+    /// Longest time that a request waits in the queue before it is rejected.
     max_queue_wait: Micros,
-    ask_within: Micros,
+    /// Longest polling interval of the decision module.
+    poll_within: Micros,
+    /// Duration of the outage.
     outage: Micros,
-    /// Failed requests are followed by another one after the schedule's pauses; otherwise after `ask_within`.
+    /// Retries use the delays of the schedule; otherwise they follow a failure after `poll_within`.
     bounds_retries: bool,
-    /// The first request comes at the start of a node; otherwise when the decision module polls.
+    /// A node sends its first request when it starts; otherwise when the decision module polls.
     polls_at_start: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum FleetEvent {
     /// The node starts.
-    Start,
+    NodeStarts,
     /// A timer of the node has expired.
-    Wake,
-    /// The service has taken up the node's request of this number.
-    Taken(usize),
-    /// The wait of the node's request is over.
-    Waited(usize),
-    /// The node's request has waited too long in the queue.
+    TimerExpired,
+    /// The service has processed the node's request of this number, and a watch begins to wait.
+    Processed(usize),
+    /// The wait of the node's watch request of this number is over.
+    WaitOver(usize),
+    /// The node's request of this number has waited too long in the queue.
     Rejected(usize),
-    /// All watches are reset; the service is up or down from now on.
-    ResetWatches { is_up: bool },
-    /// The service is back, with a change.
-    Return,
+    /// All requests in flight are reset. `is_up`: whether the service is available afterwards.
+    ResetRequests { is_up: bool },
+    /// The service is available again, and has a change.
+    ServiceRestored,
 }
 
 struct SimulatedNode {
@@ -71,46 +77,59 @@
     net: FakeTransport,
     timers: Timers,
     balancer: Balancer,
-    /// Requests so far; the number of the one in flight.
+    /// Number of requests so far, which is also the number of the last one.
     request: usize,
-    /// The request is in flight.
+    /// The last request is in flight.
     is_pending: bool,
-    /// The service has taken it up as a watch.
-    watches: bool,
-    knows_change_at: Option<Micros>,
+    /// The service has processed the request in flight, which waits as a watch.
+    is_watch_waiting: bool,
+    /// When the node received the change; None if it has not.
+    change_received_at: Option<Micros>,
 }
 
-/// What a play shows; rates are requests a second of the whole fleet.
+/// The results of a simulated outage. Rates are requests per second of the whole fleet.
 #[derive(Debug)]
-struct Outcome {
-    calm: f64,
-    /// Behind the reset of all watches.
-    reset: f64,
-    /// Later, with nothing wrong any more.
-    settled: f64,
-    down: f64,
-    back: f64,
-    late: usize,
-    last: Micros,
+struct OutageResult {
+    /// In the period without faults.
+    steady_rate: f64,
+    /// After the reset of all watches.
+    reset_rate: f64,
+    /// Some time after the reset, with all faults over.
+    settled_rate: f64,
+    /// During the outage.
+    outage_rate: f64,
+    /// After the outage.
+    recovery_rate: f64,
+    /// Number of nodes that received the change too late.
+    late_nodes: usize,
+    /// Time from the end of the outage until the last node received the change.
+    last_received_after: Micros,
 }
 
-/// What a release shows: requests a second of the whole fleet in its first time, and when the last node knows the change.
+/// The results of a simulated release.
 #[derive(Debug)]
-struct ReleaseOutcome {
-    requests: f64,
-    last: Micros,
+struct ReleaseResult {
+    /// Requests per second of the whole fleet in the first [`RECOVERY_PERIOD`].
+    request_rate: f64,
+    /// Time from the start of the simulation until the last node received the change.
+    last_received_after: Micros,
 }
 
-struct Play {
+struct Simulation {
     fleet: Fleet,
     nodes: Vec<SimulatedNode>,
-    steps: BinaryHeap<Reverse<(Micros, usize, Step)>>,
+    events: BinaryHeap<Reverse<(Micros, usize, FleetEvent)>>,
+    /// When the service will have processed its queue.
     busy_until: Micros,
+    /// The service is available.
     is_up: bool,
+    /// The service has a change.
     has_change: bool,
+    /// Time of each request.
     requests: Vec<Micros>,
 }
 
+/// The node of this number, before its start.
 fn node(fleet: Fleet, number: usize) -> SimulatedNode {
     let text = config_text()
         .replace(r#""discovery": "push""#, r#""discovery": "ask""#)
@@ -120,13 +139,13 @@
         )
         .replace(
             r#""ask_within": 200.0"#,
-            &format!(r#""ask_within": {}.0"#, fleet.ask_within / 1000),
+            &format!(r#""ask_within": {}.0"#, fleet.poll_within / 1000),
         );
     let config = config::parse(&text).unwrap();
-    let mut schedule = PollSchedule::new(true, GRACE, config.phase);
+    let mut schedule = PollSchedule::new(true, DRAIN_GRACE, config.phase);
     if !fleet.bounds_retries {
-        schedule.first_pause = fleet.ask_within;
-        schedule.retry_interval = fleet.ask_within;
+        schedule.initial_backoff = fleet.poll_within;
+        schedule.backoff_limit = fleet.poll_within;
     }
     let seed = 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(number as u64 + 1);
     let mut client = DiscoveryClient::new(config.discovery, 7, 41, schedule);
@@ -138,12 +157,13 @@
         balancer: Balancer::new(config.settings, seed, 0).unwrap(),
         request: 0,
         is_pending: false,
-        watches: false,
-        knows_change_at: None,
+        is_watch_waiting: false,
+        change_received_at: None,
     }
 }
 
 impl SimulatedNode {
+    /// Passes an event to the decision module and performs its actions.
     fn decide(&mut self, now: Micros, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(now, event, &mut actions);
@@ -159,11 +179,12 @@
         }
     }
 
-    fn take(&mut self, now: Micros, event: Option<DiscoveryEvent>) {
+    /// Handles an event of the discovery client.
+    fn handle_discovery(&mut self, now: Micros, event: Option<DiscoveryEvent>) {
         match event {
             Some(DiscoveryEvent::List(list)) => {
                 if list.rev > 41 {
-                    self.knows_change_at.get_or_insert(now);
+                    self.change_received_at.get_or_insert(now);
                 }
                 let none: Vec<sloewick_decision::api::Endpoint> = Vec::new();
                 self.decide(
@@ -176,11 +197,12 @@
         }
     }
 
+    /// Whether the request of this number is in flight.
     fn waits_for(&self, request: usize) -> bool {
         self.is_pending && self.request == request
     }
 
-    /// How long the request in flight asks the service to wait.
+    /// The wait of the request in flight; 0 if it is not a watch.
     fn wait_of_watch(&self) -> Micros {
         match self.client.pending.as_ref().map(|p| p.request) {
             Some(DiscoveryRequest::Watch { wait, .. }) => wait,
@@ -188,124 +210,133 @@
         }
     }
 
-    /// The connection comes up: the service's system accepts it, however long the service's queue is.
+    /// Establishes the connection of the last request. The operating system of the service accepts it regardless of the
+    /// queue.
     fn connected(&mut self, now: Micros) {
         self.net.opened[0].0.borrow_mut().connecting = false;
         let event = connected(DISCOVERY_TOKEN);
-        let nothing = self
+        let no_event = self
             .client
             .ready(&event, now, &mut [0; 4096], &mut self.timers);
-        assert!(nothing.is_none());
+        assert!(no_event.is_none());
     }
 
-    /// The answer to the request in flight, or a reset without one.
-    fn answer(&mut self, now: Micros, answer: Option<&str>) {
-        (self.is_pending, self.watches) = (false, false);
+    /// Responds to the request in flight, or resets its connection if `response` is None.
+    fn respond(&mut self, now: Micros, response: Option<&str>) {
+        (self.is_pending, self.is_watch_waiting) = (false, false);
         let Some(stream) = self.net.opened.last() else {
             return;
         };
         {
             let mut connection = stream.0.borrow_mut();
-            connection.input.extend(answer.unwrap_or_default().bytes());
-            connection.input_ended = answer.is_some();
-            connection.is_reset = answer.is_none();
+            connection
+                .input
+                .extend(response.unwrap_or_default().bytes());
+            connection.input_ended = response.is_some();
+            connection.is_reset = response.is_none();
         }
         let event = input_ended(DISCOVERY_TOKEN);
         let event = self
             .client
             .ready(&event, now, &mut [0; 4096], &mut self.timers);
-        self.take(now, event);
+        self.handle_discovery(now, event);
     }
 }
 
-impl Play {
-    fn new(fleet: Fleet) -> Play {
-        let mut play = Play::with_starts(fleet, STARTS, false);
-        let back = OUTAGE_BEGINS + fleet.outage;
-        play.set(WATCHES_RESET, 0, Step::ResetWatches { is_up: true });
-        play.set(OUTAGE_BEGINS, 0, Step::ResetWatches { is_up: false });
-        play.set(back, 0, Step::Return);
-        play
+impl Simulation {
+    /// A reset of all watches, then an outage, after which the service has a change.
+    fn new(fleet: Fleet) -> Simulation {
+        let mut simulation = Simulation::with_starts(fleet, START_SPREAD, false);
+        let outage_end = OUTAGE_START + fleet.outage;
+        simulation.schedule(WATCH_RESET, 0, FleetEvent::ResetRequests { is_up: true });
+        simulation.schedule(OUTAGE_START, 0, FleetEvent::ResetRequests { is_up: false });
+        simulation.schedule(outage_end, 0, FleetEvent::ServiceRestored);
+        simulation
     }
 
-    /// All nodes start together, with a list that lacks a change.
-    fn release(fleet: Fleet) -> Play {
-        Play::with_starts(fleet, RELEASE_STARTS, true)
+    /// A release: all nodes start at nearly the same time, with a list that lacks a change.
+    fn release(fleet: Fleet) -> Simulation {
+        Simulation::with_starts(fleet, RELEASE_START_SPREAD, true)
     }
 
-    fn with_starts(fleet: Fleet, starts: Micros, has_change: bool) -> Play {
-        let mut play = Play {
+    /// `start_spread`: time over which the starts of the nodes are spread. `has_change`: the service has a change from the
+    /// beginning.
+    fn with_starts(fleet: Fleet, start_spread: Micros, has_change: bool) -> Simulation {
+        let mut simulation = Simulation {
             fleet,
             nodes: (0..fleet.nodes).map(|number| node(fleet, number)).collect(),
-            steps: BinaryHeap::new(),
+            events: BinaryHeap::new(),
             busy_until: 0,
             is_up: true,
             has_change,
             requests: Vec::new(),
         };
         for number in 0..fleet.nodes {
-            let start = starts * number as Micros / fleet.nodes as Micros;
-            play.set(start, number, Step::Start);
+            let start = start_spread * number as Micros / fleet.nodes as Micros;
+            simulation.schedule(start, number, FleetEvent::NodeStarts);
         }
-        play
+        simulation
     }
 
-    fn set(&mut self, at: Micros, node: usize, step: Step) {
-        self.steps.push(Reverse((at, node, step)));
+    fn schedule(&mut self, at: Micros, node: usize, event: FleetEvent) {
+        self.events.push(Reverse((at, node, event)));
     }
 
-    fn play_until(&mut self, end: Micros) {
-        while let Some(Reverse((now, node, step))) = self.steps.pop() {
+    fn run_until(&mut self, end: Micros) {
+        while let Some(Reverse((now, node, event))) = self.events.pop() {
             if now > end {
                 break;
             }
-            self.step(node, now, step);
+            self.handle(node, now, event);
         }
     }
 
-    /// Requests a second.
+    /// Requests per second of the whole fleet from `from` until `to`.
     fn rate(&self, from: Micros, to: Micros) -> f64 {
         let within = self.requests.iter().filter(|at| (from..to).contains(*at));
         within.count() as f64 * SECOND as f64 / (to - from) as f64
     }
 
-    fn run_release(mut self) -> ReleaseOutcome {
-        self.play_until(60 * SECOND);
-        let known = |node: &SimulatedNode| node.knows_change_at.unwrap_or(Micros::MAX);
-        ReleaseOutcome {
-            requests: self.rate(0, RETURN),
-            last: self.nodes.iter().map(known).max().unwrap_or(0),
+    fn run_release(mut self) -> ReleaseResult {
+        self.run_until(60 * SECOND);
+        let received_at = |node: &SimulatedNode| node.change_received_at.unwrap_or(Micros::MAX);
+        ReleaseResult {
+            request_rate: self.rate(0, RECOVERY_PERIOD),
+            last_received_after: self.nodes.iter().map(received_at).max().unwrap_or(0),
         }
     }
 
-    fn run(mut self) -> Outcome {
-        let back = OUTAGE_BEGINS + self.fleet.outage;
-        self.play_until(back + 60 * SECOND);
-        let known = |node: &SimulatedNode| node.knows_change_at.map_or(Micros::MAX, |at| at - back);
-        let known: Vec<Micros> = self.nodes.iter().map(known).collect();
-        let late = known
+    fn run(mut self) -> OutageResult {
+        let outage_end = OUTAGE_START + self.fleet.outage;
+        self.run_until(outage_end + 60 * SECOND);
+        let received_after = |node: &SimulatedNode| {
+            node.change_received_at
+                .map_or(Micros::MAX, |at| at - outage_end)
+        };
+        let received_after: Vec<Micros> = self.nodes.iter().map(received_after).collect();
+        let late = received_after
             .iter()
-            .filter(|after| **after > ANNOUNCED_AFTER + GRACE);
-        Outcome {
-            calm: self.rate(CALM.0, CALM.1),
-            reset: self.rate(WATCHES_RESET, WATCHES_RESET + RETURN),
-            settled: self.rate(SETTLED.0, SETTLED.1),
-            down: self.rate(OUTAGE_BEGINS, back),
-            back: self.rate(back, back + RETURN),
-            late: late.count(),
-            last: known.iter().copied().max().unwrap_or(0),
+            .filter(|after| **after > ANNOUNCEMENT_DELAY + DRAIN_GRACE);
+        OutageResult {
+            steady_rate: self.rate(STEADY_PERIOD.0, STEADY_PERIOD.1),
+            reset_rate: self.rate(WATCH_RESET, WATCH_RESET + RECOVERY_PERIOD),
+            settled_rate: self.rate(SETTLED_PERIOD.0, SETTLED_PERIOD.1),
+            outage_rate: self.rate(OUTAGE_START, outage_end),
+            recovery_rate: self.rate(outage_end, outage_end + RECOVERY_PERIOD),
+            late_nodes: late.count(),
+            last_received_after: received_after.iter().copied().max().unwrap_or(0),
         }
     }
 
-    fn step(&mut self, number: usize, now: Micros, step: Step) {
+    fn handle(&mut self, number: usize, now: Micros, event: FleetEvent) {
         let node = &mut self.nodes[number];
-        match step {
-            Step::Start => {
+        match event {
+            FleetEvent::NodeStarts => {
                 let none: Vec<sloewick_decision::api::Endpoint> = Vec::new();
                 let first = Event::EndpointList(EndpointListKind::Cached, none.into());
                 node.decide(now, first);
             }
-            Step::Wake => {
+            FleetEvent::TimerExpired => {
                 while let Some(event) = node.timers.pop_expired(now) {
                     match event {
                         TimerEvent::DecisionEngine(token) => {
@@ -313,59 +344,59 @@
                         }
                         TimerEvent::Discovery { serial } => {
                             let event = node.client.timer_expired(serial, now, &mut node.timers);
-                            node.take(now, event);
+                            node.handle_discovery(now, event);
                         }
                         _ => {}
                     }
                 }
             }
-            Step::Taken(request) if node.waits_for(request) => {
-                if self.has_change && node.knows_change_at.is_none() {
-                    node.answer(now, Some(&list(42)));
+            FleetEvent::Processed(request) if node.waits_for(request) => {
+                if self.has_change && node.change_received_at.is_none() {
+                    node.respond(now, Some(&list_response(42)));
                 } else {
-                    node.watches = true;
+                    node.is_watch_waiting = true;
                     let wait = node.wait_of_watch();
-                    self.set(now + wait, number, Step::Waited(request));
+                    self.schedule(now + wait, number, FleetEvent::WaitOver(request));
                 }
             }
-            Step::Waited(request) if node.waits_for(request) && node.watches => {
-                let rev = if node.knows_change_at.is_some() {
+            FleetEvent::WaitOver(request) if node.waits_for(request) && node.is_watch_waiting => {
+                let rev = if node.change_received_at.is_some() {
                     42
                 } else {
                     41
                 };
-                node.answer(now, Some(&list(rev)));
+                node.respond(now, Some(&list_response(rev)));
             }
-            Step::Rejected(request) if node.waits_for(request) => {
-                node.answer(now, Some(UNAVAILABLE));
+            FleetEvent::Rejected(request) if node.waits_for(request) => {
+                node.respond(now, Some(UNAVAILABLE));
             }
-            Step::ResetWatches { is_up } => {
+            FleetEvent::ResetRequests { is_up } => {
                 self.is_up = is_up;
                 self.busy_until = now;
                 for number in 0..self.nodes.len() {
                     if self.nodes[number].is_pending {
-                        self.nodes[number].answer(now, None);
+                        self.nodes[number].respond(now, None);
                         self.start_request(number, now);
                     }
                 }
                 return;
             }
-            Step::Return => {
+            FleetEvent::ServiceRestored => {
                 (self.is_up, self.has_change, self.busy_until) = (true, true, now);
                 return;
             }
-            Step::Taken(_) | Step::Waited(_) | Step::Rejected(_) => return,
+            FleetEvent::Processed(_) | FleetEvent::WaitOver(_) | FleetEvent::Rejected(_) => return,
         }
         self.start_request(number, now);
     }
 
-    /// Starts the node's next request, if it wants one, and sets its next timer.
+    /// Starts the node's next request, if it needs one, and schedules its next timer.
     fn start_request(&mut self, number: usize, now: Micros) {
         let node = &mut self.nodes[number];
         node.net.now = now;
         let opened = node.net.opened.len();
         let event = node.client.start_request(&mut node.net, &mut node.timers);
-        node.take(now, event);
+        node.handle_discovery(now, event);
         if node.net.opened.len() > opened {
             node.net.opened.drain(..opened);
             node.connected(now);
@@ -375,29 +406,29 @@
             self.accept(number, now);
         }
         if let Some(at) = self.nodes[number].timers.next() {
-            self.set(at.max(now), number, Step::Wake);
+            self.schedule(at.max(now), number, FleetEvent::TimerExpired);
         }
     }
 
-    /// The service gets a request.
+    /// Adds the node's request to the service's queue, or rejects or resets it.
     fn accept(&mut self, number: usize, now: Micros) {
         let request = self.nodes[number].request;
         if !self.is_up {
             let node = &mut self.nodes[number];
-            return node.answer(now, None);
+            return node.respond(now, None);
         }
-        let begins = self.busy_until.max(now);
-        if begins - now > self.fleet.max_queue_wait {
+        let processing_start = self.busy_until.max(now);
+        if processing_start - now > self.fleet.max_queue_wait {
             let at = now + self.fleet.max_queue_wait;
-            return self.set(at, number, Step::Rejected(request));
+            return self.schedule(at, number, FleetEvent::Rejected(request));
         }
-        self.busy_until = begins + self.fleet.service_time / self.fleet.nodes as Micros;
-        self.set(self.busy_until, number, Step::Taken(request));
+        self.busy_until = processing_start + self.fleet.service_time / self.fleet.nodes as Micros;
+        self.schedule(self.busy_until, number, FleetEvent::Processed(request));
     }
 }
 
-/// The list of this revision: the first one changes nothing, the others name a server that drains.
-fn list(rev: i64) -> String {
+/// The response with the list of this revision: up to revision 41 it is empty, later ones contain a draining server.
+fn list_response(rev: i64) -> String {
     let draining = r#"{"uid":"s-1","endpoint":"10.1.0.18:6379","state":"terminating"}"#;
     let targets = if rev > 41 { draining } else { "" };
     let body = format!(r#"{{"rev":{rev},"all":false,"targets":[{targets}]}}"#);
@@ -407,39 +438,44 @@
     )
 }
 
-/// Plays a fleet without and with the bound of the schedule, and prints both.
-fn compare(fleet: Fleet) -> (Outcome, Outcome) {
-    let unbounded = Play::new(Fleet {
+/// Simulates a fleet without and with the retry delays of the schedule, prints both results, and returns them in this
+/// order.
+fn compare(fleet: Fleet) -> (OutageResult, OutageResult) {
+    let without_bound = Simulation::new(Fleet {
         bounds_retries: false,
         ..fleet
     });
-    let (before, after) = (unbounded.run(), Play::new(fleet).run());
-    println!("{fleet:?}\n  before {before:?}\n  after  {after:?}");
-    (before, after)
+    let (unbounded, bounded) = (without_bound.run(), Simulation::new(fleet).run());
+    println!("{fleet:?}\n  unbounded {unbounded:?}\n  bounded {bounded:?}");
+    (unbounded, bounded)
 }
 
-fn fleet(nodes: usize, service_time: Micros, ask_within: Micros, outage: Micros) -> Fleet {
+fn fleet(nodes: usize, service_time: Micros, poll_within: Micros, outage: Micros) -> Fleet {
     Fleet {
         nodes,
         service_time,
         max_queue_wait: 3 * SECOND,
-        ask_within,
+        poll_within,
         outage,
         bounds_retries: true,
         polls_at_start: true,
     }
 }
 
-// A node that has an answer watches again at once, so that each makes two requests at the return: a service that takes
-// 3 s for one from each node has answered all first ones 6 s after it.
+// After an outage each node sends two requests, since it watches again as soon as it has a response. A service that takes
+// 3 s for one request from each node has therefore answered the first request of every node within 6 s.
 #[test]
-fn all_nodes_know_a_change_in_time_where_the_service_keeps_up() {
+fn all_nodes_receive_a_change_in_time_if_the_service_keeps_up() {
     for nodes in [60, 300] {
         for service_time in [2 * SECOND, 3 * SECOND] {
-            for ask_within in [10 * SECOND, 30 * SECOND, 60 * SECOND] {
+            for poll_within in [10 * SECOND, 30 * SECOND, 60 * SECOND] {
                 for outage in [3 * SECOND, 12 * SECOND, 40 * SECOND] {
-                    let (_, after) = compare(fleet(nodes, service_time, ask_within, outage));
-                    assert_eq!(after.late, 0, "last {} us after the return", after.last);
+                    let (_, bounded) = compare(fleet(nodes, service_time, poll_within, outage));
+                    assert_eq!(
+                        bounded.late_nodes, 0,
+                        "last node {} us after the outage",
+                        bounded.last_received_after
+                    );
                 }
             }
         }
@@ -447,63 +483,95 @@
 }
 
 #[test]
-fn bounded_retries_load_the_service_no_more_than_it_bears() {
-    for (nodes, ask_within) in [(60, 30), (300, 30), (300, 60), (6_200, 30)] {
-        let (before, after) = compare(fleet(nodes, 2 * SECOND, ask_within * SECOND, 12 * SECOND));
-        assert!((after.calm - before.calm).abs() < 0.01 * before.calm);
+fn bounded_retries_keep_the_request_rate_within_the_capacity_of_the_service() {
+    for (nodes, poll_within) in [(60, 30), (300, 30), (300, 60), (6_200, 30)] {
+        let (unbounded, bounded) =
+            compare(fleet(nodes, 2 * SECOND, poll_within * SECOND, 12 * SECOND));
+        assert!((bounded.steady_rate - unbounded.steady_rate).abs() < 0.01 * unbounded.steady_rate);
         // One request from each node in 2 s.
-        assert!(after.down < nodes as f64 / 2.0, "{} a second", after.down);
-        assert!(after.back < nodes as f64 / 2.0, "{} a second", after.back);
-        assert!(before.late > 0, "the fault does not show without the bound");
-        assert_eq!(after.late, 0);
+        assert!(
+            bounded.outage_rate < nodes as f64 / 2.0,
+            "{} requests/s",
+            bounded.outage_rate
+        );
+        assert!(
+            bounded.recovery_rate < nodes as f64 / 2.0,
+            "{} requests/s",
+            bounded.recovery_rate
+        );
+        assert!(
+            unbounded.late_nodes > 0,
+            "without the bound no node is late, so that the test shows nothing"
+        );
+        assert_eq!(bounded.late_nodes, 0);
     }
 }
 
-// Where the service itself takes longer than the time after which a change counts as announced, it can't be reached by all.
+// If the service takes so long that it cannot answer every node within the time after which a change counts as announced,
+// some nodes receive the change late; the retries must not add to the load.
 #[test]
 fn service_that_takes_longer_recovers_without_a_retry_storm() {
     for service_time in [4, 5, 6, 8] {
-        for ask_within in [10, 30, 60] {
-            let slow = fleet(300, service_time * SECOND, ask_within * SECOND, 12 * SECOND);
-            let (before, after) = compare(slow);
-            // Each node needs two requests behind a reset; that load must not keep itself up.
-            assert!(after.reset < 300.0 / 2.0, "{} a second", after.reset);
-            // A request from each node in 16 s, in the mean.
-            let in_calm = 300.0 / 16.0;
-            assert!(after.calm < 1.2 * in_calm, "{after:?}");
-            assert!(after.settled < 2.0 * in_calm, "{after:?}");
+        for poll_within in [10, 30, 60] {
+            let slow = fleet(
+                300,
+                service_time * SECOND,
+                poll_within * SECOND,
+                12 * SECOND,
+            );
+            let (unbounded, bounded) = compare(slow);
+            // Each node needs two requests after a reset; that load must not cause further retries.
             assert!(
-                after.last < 30 * SECOND,
-                "{} us after the return",
-                after.last
+                bounded.reset_rate < 300.0 / 2.0,
+                "{} requests/s",
+                bounded.reset_rate
             );
+            // One request from each node in 16 s on average.
+            let steady_rate = 300.0 / 16.0;
+            assert!(bounded.steady_rate < 1.2 * steady_rate, "{bounded:?}");
+            assert!(bounded.settled_rate < 2.0 * steady_rate, "{bounded:?}");
             assert!(
-                after.late <= before.late + 300 / 100,
-                "{} nodes, {} before",
-                after.late,
-                before.late
+                bounded.last_received_after < 30 * SECOND,
+                "last node {} us after the outage",
+                bounded.last_received_after
+            );
+            assert!(
+                bounded.late_nodes <= unbounded.late_nodes + 300 / 100,
+                "{} late nodes, {} without the bound",
+                bounded.late_nodes,
+                unbounded.late_nodes
             );
         }
     }
 }
 
-// A service that takes 3 s for a request from each node has answered all first ones 3 s after the last start.
+// A service that takes 3 s for one request from each node has answered the first request of every node 3 s after the last
+// start.
 #[test]
-fn nodes_that_start_together_know_a_change_as_soon_as_the_service_can_tell() {
+fn nodes_started_by_a_release_receive_a_change_as_soon_as_the_service_can_answer() {
     for (nodes, service_time) in [(60, 2), (300, 2), (300, 3), (300, 5), (300, 8), (6_200, 2)] {
-        for ask_within in [10 * SECOND, 30 * SECOND, 60 * SECOND] {
-            let together = fleet(nodes, service_time * SECOND, ask_within, 0);
-            let spread = Fleet {
+        for poll_within in [10 * SECOND, 30 * SECOND, 60 * SECOND] {
+            let polled_at_start = fleet(nodes, service_time * SECOND, poll_within, 0);
+            let polled_later = Fleet {
                 polls_at_start: false,
-                ..together
+                ..polled_at_start
             };
-            let before = Play::release(spread).run_release();
-            let after = Play::release(together).run_release();
-            println!("{together:?}\n  before {before:?}\n  after  {after:?}");
-            let takes = RELEASE_STARTS + 2 * service_time * SECOND + SECOND;
-            assert!(after.last < takes, "{} us, {takes} wanted", after.last);
-            assert!(after.last < before.last + SECOND, "{after:?}, {before:?}");
-            assert!(after.requests < nodes as f64 / 2.0, "{after:?}");
+            let later = Simulation::release(polled_later).run_release();
+            let at_start = Simulation::release(polled_at_start).run_release();
+            println!(
+                "{polled_at_start:?}\n  polled later {later:?}\n  polled at start {at_start:?}"
+            );
+            let limit = RELEASE_START_SPREAD + 2 * service_time * SECOND + SECOND;
+            assert!(
+                at_start.last_received_after < limit,
+                "{} us, limit {limit} us",
+                at_start.last_received_after
+            );
+            assert!(
+                at_start.last_received_after < later.last_received_after + SECOND,
+                "{at_start:?}, {later:?}"
+            );
+            assert!(at_start.request_rate < nodes as f64 / 2.0, "{at_start:?}");
         }
     }
 }
--- a/crates/node/src/discovery/request.rs
+++ b/crates/node/src/discovery/request.rs
@@ -1,4 +1,4 @@
-//! A request to discovery: what it asks for, and why it may fail. The texts are those of the log lines.
+//! Requests to discovery and the errors with which they may fail. The `Display` texts are written to the log.
 
 use std::fmt;
 
@@ -10,16 +10,17 @@
 use crate::timers::{TimerEvent, Timers};
 use crate::transport::WriteQueue;
 
-/// What a request asks for.
+/// The content of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryRequest {
     /// The full endpoint list.
     FullList,
-    /// What is newer than a revision, or nothing after a wait.
+    /// The changes after revision `since`. If there are none, discovery responds with an empty list after `wait`.
     Watch { since: i64, wait: Micros },
 }
 
 impl DiscoveryRequest {
+    /// The request target: path and query.
     pub(crate) fn path(self) -> String {
         match self {
             DiscoveryRequest::FullList => "/api/targets".to_string(),
@@ -47,45 +48,45 @@
     }
 }
 
-/// Why a request has failed.
+/// The reason why a request has failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub(crate) enum DiscoveryError {
-    #[error("no connection")]
-    NoConnection,
-    #[error("no connection in time")]
+    #[error("cannot connect")]
+    ConnectFailed,
+    #[error("connect timeout")]
     ConnectTimeout,
-    #[error("no answer in time")]
+    #[error("response timeout")]
     Timeout,
-    #[error("answer too long")]
-    AnswerTooLong,
-    #[error("connection broke")]
-    ConnectionFailed,
-    /// The answer is no HTTP/1.1, or no success.
+    #[error("response too long")]
+    ResponseTooLong,
+    #[error("connection lost")]
+    ConnectionLost,
+    /// The response is not valid HTTP/1.1, or its status is not 200.
     #[error(transparent)]
     Http(http1::ResponseError),
-    #[error("answer is not a list")]
-    NotAList,
-    #[error("no call")]
-    NoRequest,
-    #[error("part of a list where all was asked for")]
+    #[error("response is not an endpoint list")]
+    InvalidList,
+    #[error("no request in flight")]
+    NoPendingRequest,
+    #[error("partial list in response to a request for the full list")]
     PartialList,
 }
 
 /// A request that has failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("error=\"{error}\" after_ms={}", .lasted / 1000)]
+#[error("error=\"{error}\" after_ms={}", .duration / 1000)]
 pub(crate) struct RequestFailure {
     pub(crate) error: DiscoveryError,
-    /// From the start of the request.
-    pub(crate) lasted: Micros,
+    /// Time from the start of the request to its failure.
+    pub(crate) duration: Micros,
 }
 
-/// Requests that have failed in a row.
+/// Number of successive failed requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Failures {
-    /// Those that were given up.
+    /// Requests that timed out.
     pub(crate) timeouts: u32,
-    /// All others.
+    /// Requests that failed otherwise.
     pub(crate) errors: u32,
 }
 
@@ -103,26 +104,28 @@
 pub(super) struct PendingRequest<S> {
     pub(super) stream: S,
     pub(super) request: DiscoveryRequest,
-    pub(super) out: WriteQueue,
-    pub(super) buf: BytesMut,
+    pub(super) write_queue: WriteQueue,
+    pub(super) read_buffer: BytesMut,
+    /// Identifies the request in timer events.
     pub(super) serial: u64,
     pub(super) started: Micros,
-    /// The connection has come up.
+    /// The connection is established.
     pub(super) is_connected: bool,
-    /// When the request is given up; before the connection has come up, when that is.
-    pub(super) give_up_at: Micros,
-    /// When the request is given up once the connection has come up.
-    pub(super) answer_by: Micros,
+    /// When the request times out unless it makes progress: the time by which the connection must be established, then
+    /// `response_timeout_at`, then the time by which the response must be complete.
+    pub(super) timeout_at: Micros,
+    /// When the request times out after the connection is established and before the response starts.
+    pub(super) response_timeout_at: Micros,
 }
 
 impl<S> PendingRequest<S> {
-    /// The connection has come up: the request has its whole time from now on.
+    /// Records that the connection is established, and extends the timeout to that of the response.
     pub(super) fn connected(&mut self, timers: &mut Timers) {
         if !self.is_connected {
             self.is_connected = true;
-            self.give_up_at = self.answer_by;
+            self.timeout_at = self.response_timeout_at;
             let serial = self.serial;
-            timers.set(self.give_up_at, TimerEvent::Discovery { serial });
+            timers.set(self.timeout_at, TimerEvent::Discovery { serial });
         }
     }
 }
--- a/crates/node/src/discovery/schedule.rs
+++ b/crates/node/src/discovery/schedule.rs
@@ -1,70 +1,77 @@
-//! When discovery is polled: the waits, timeouts and pauses that follow from the settings. No state.
+//! The timing of requests to discovery: waits of watches, timeouts and retry delays. They follow from the settings; the
+//! module holds no state.
 
 use sloewick_decision::api::Micros;
 
 use crate::discovery::request::{DiscoveryError, DiscoveryRequest, Failures};
 
-/// How long a watch may wait at a service that all nodes share. A request is expensive for the service, and its silence shows
-/// only after the wait. Each node has a wait of its own within these bounds: silence that begins for all of them at once must
-/// not bring all of their requests at once. The longest is the protocol's own example; the shortest leaves as much time as
-/// such a service needs to take one request from each node (8 s at the most).
+/// Bounds of the wait of a watch at a service that all nodes share. A request is expensive for the service, and a missing
+/// response is noticed only after the wait. Each node has its own wait within these bounds, so that a failure that hits all
+/// of them at once does not make all of them send their next request at once. The upper bound is the example in the
+/// protocol's specification. The lower bound leaves the time that such a service needs for one request from each node (at
+/// most 8 s).
 const MIN_SHARED_WAIT: Micros = 12_000_000;
 const MAX_SHARED_WAIT: Micros = 20_000_000;
-/// How much later than its wait a watch may be answered before it is given up.
+/// How long after its wait a watch at a shared service times out.
 const SHARED_WAIT_MARGIN: Micros = 500_000;
-/// Waits of a watch at an agent beside the node, which answers at no cost: half of the grace, within these bounds.
+/// Bounds of the wait of a watch at a local agent, for which requests are cheap. The wait is half of the drain grace
+/// period, within these bounds.
 const MIN_PUSHED_WAIT: Micros = 100_000;
 const MAX_PUSHED_WAIT: Micros = 2_000_000;
-/// Waits of the first watches behind a start, and of the first one behind a failure.
-const FIRST_WAIT: Micros = 500_000;
-const SECOND_WAIT: Micros = 2_000_000;
-/// How much later than such a wait a watch is given up: a working service may let a request queue for 3 s before it rejects it.
+/// Waits of the first two watches after a start; the first also holds after a failure.
+const FIRST_WATCH_WAIT: Micros = 500_000;
+const SECOND_WATCH_WAIT: Micros = 2_000_000;
+/// How long after such a wait a watch times out: a working service may queue a request for 3 s before it rejects it.
 const QUEUE_ALLOWANCE: Micros = 3_500_000;
-/// Timeout of a connection: within it the first packet, if it is lost, is sent a second time (after 1 s; RFC 6298, section 2).
+/// Timeout for establishing a connection. It leaves time for one retransmission of a lost first packet, which is sent after
+/// 1 s (RFC 6298, section 2).
 const CONNECT_TIMEOUT: Micros = 1_500_000;
 /// Timeout of a request for the full list.
 const FULL_LIST_TIMEOUT: Micros = 4_000_000;
-/// Timeout of a first request behind others that were given up, for a service that takes longer; within it a service is noticed
-/// that is back.
+/// Shortest timeout of a full-list request, or of a watch with a short wait, after several requests that timed out, for a
+/// service that takes longer. A service that works again is noticed within it.
 const LONG_REQUEST_TIMEOUT: Micros = 5_500_000;
-/// Timeout of an answer, from its first byte to its last.
-const ANSWER_TIMEOUT: Micros = 1_500_000;
-const LONG_ANSWER_TIMEOUT: Micros = 3_000_000;
-/// The long timeouts hold behind so many requests that were given up.
+/// Timeout of a response, from its first byte to its last.
+const RESPONSE_TIMEOUT: Micros = 1_500_000;
+/// Timeout of a response after several requests that timed out.
+const LONG_RESPONSE_TIMEOUT: Micros = 3_000_000;
+/// Number of successive requests that timed out after which the long timeouts hold.
 const TIMEOUTS_BEFORE_LONGER: u32 = 2;
-/// Bounds of the pause before a pushed list is requested again, and behind a doubtful answer. Four pauses fit into the grace
-/// within which a list must be obeyed, where that is shorter.
+/// Bounds of the pause before a pushed list is requested again after repeated failures, and after a response older than the
+/// known list. Within these bounds it is a quarter of the drain grace period, within which a list must be applied.
 const MIN_RETRY_PAUSE: Micros = 20_000;
 const MAX_RETRY_PAUSE: Micros = 200_000;
-/// Pause behind a first failed request to a shared service; it doubles with each further one.
-const MIN_FIRST_PAUSE: Micros = 150_000;
-const MAX_FIRST_PAUSE: Micros = 250_000;
-/// Behind so many doublings the pause is longer than the longest that is taken.
-const MAX_PAUSE_DOUBLINGS: u32 = 6;
-/// Bounds of the longest pause between requests to a shared service. A change counts as announced 6 s after the service could
-/// be reached, whatever failed before: the longest leaves a second for the answer.
-const MIN_RETRY_INTERVAL: Micros = 4_000_000;
-const MAX_RETRY_INTERVAL: Micros = 5_000_000;
+/// Bounds of the pause after a first failed request to a shared service; the pause doubles with each further failure.
+const MIN_INITIAL_BACKOFF: Micros = 150_000;
+const MAX_INITIAL_BACKOFF: Micros = 250_000;
+/// After this many doublings the pause exceeds its limit in any case; the bound prevents an overflow.
+const MAX_BACKOFF_DOUBLINGS: u32 = 6;
+/// Bounds of the longest pause between requests to a shared service. A change counts as announced 6 s after the service
+/// could be reached, regardless of earlier failures: the upper bound leaves one second for the response.
+const MIN_BACKOFF_LIMIT: Micros = 4_000_000;
+const MAX_BACKOFF_LIMIT: Micros = 5_000_000;
 
-/// How much is known of discovery: the more, the longer a watch may wait, since its silence can't be told from 'nothing new'.
+/// What the node knows about the availability of discovery: the more, the longer a watch may wait, since during the wait a
+/// lost request cannot be distinguished from one without changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum WatchStage {
-    /// Nothing has been answered yet. The list of the configuration may be old.
+    /// No request has been answered yet. The list in the configuration may be old.
     Started,
     /// The first request has been answered, and none has failed.
     Answered,
     /// A request has failed: a change may have been missed, and counts as announced a bounded time after discovery had it.
     Recovering,
-    /// Discovery answers.
+    /// Discovery answers requests; the longest wait is used.
     Steady,
 }
 
 impl WatchStage {
-    /// The stage behind an answer; `brings_change`: many nodes may wait for it, and are to ask no more often than they must.
-    pub(crate) fn after_answer(self, brings_change: bool) -> WatchStage {
+    /// The stage after a response. `brings_change`: the response contains a change, for which many nodes may be waiting, so
+    /// that each should send no more requests than necessary.
+    pub(crate) fn after_response(self, brings_change: bool) -> WatchStage {
         match self {
             WatchStage::Started if !brings_change => WatchStage::Answered,
-            // A second short wait costs a crowded service, which rejects requests, more than it bears.
+            // A second short wait would overload a busy service, which rejects requests.
             _ => WatchStage::Steady,
         }
     }
@@ -73,60 +80,62 @@
 /// The times of a node's requests to discovery.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PollSchedule {
-    /// Lists are pushed to an agent beside the node, which is watched always.
-    pub(crate) pushed: bool,
-    /// How long a watch waits, in whole milliseconds, behind answered ones.
-    pub(crate) wait: Micros,
-    /// How long after that it is given up.
-    pub(crate) wait_margin: Micros,
-    /// Pause before a pushed list is requested again, and behind a doubtful answer.
+    /// Lists are pushed to a local agent, which is always watched; otherwise all nodes share one service.
+    pub(crate) is_pushed: bool,
+    /// How long a watch waits in [`WatchStage::Steady`], and at an agent in each stage; whole milliseconds.
+    pub(crate) steady_wait: Micros,
+    /// How long after its wait such a watch times out.
+    pub(crate) steady_wait_margin: Micros,
+    /// Pause before a pushed list is requested again after repeated failures, and after a response older than the known
+    /// list.
     pub(crate) retry_pause: Micros,
-    /// Pause behind a first failed request to a shared service.
-    pub(crate) first_pause: Micros,
-    /// Longest pause behind a failed request to a shared service.
-    pub(crate) retry_interval: Micros,
+    /// Pause after a first failed request to a shared service.
+    pub(crate) initial_backoff: Micros,
+    /// Longest pause after a failed request to a shared service.
+    pub(crate) backoff_limit: Micros,
 }
 
 impl PollSchedule {
-    /// `polls`: one service is shared by all nodes; otherwise an agent runs beside each node. `phase`: this node's position
-    /// in what is spread over all nodes, from 0 to 1, lest requests that failed together are repeated together.
-    pub(crate) fn new(polls: bool, grace: Micros, phase: f64) -> PollSchedule {
-        let within = |min: Micros, max: Micros| {
+    /// Derives the times from the settings. `polls`: all nodes share one service; otherwise each node has a local agent.
+    /// `drain_grace`: the time within which a list must be applied. `phase`: this node's position, from 0 to 1, in times
+    /// that are spread over all nodes, so that requests which failed at the same time are not repeated at the same time.
+    pub(crate) fn new(polls: bool, drain_grace: Micros, phase: f64) -> PollSchedule {
+        let by_phase = |min: Micros, max: Micros| {
             min + ((max - min) as f64 * (1.0 - phase.clamp(0.0, 1.0))) as Micros
         };
-        let retry_pause = (grace / 4).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
-        // A list at the agent counts as announced at once, so it may not go unread for longer than the grace.
-        let pushed_wait = whole_millis((grace / 2).clamp(MIN_PUSHED_WAIT, MAX_PUSHED_WAIT));
-        let shared_wait = whole_millis(within(MIN_SHARED_WAIT, MAX_SHARED_WAIT));
+        let retry_pause = (drain_grace / 4).clamp(MIN_RETRY_PAUSE, MAX_RETRY_PAUSE);
+        // A list counts as announced as soon as the agent has it, so it must be read within the drain grace period.
+        let pushed_wait = whole_millis((drain_grace / 2).clamp(MIN_PUSHED_WAIT, MAX_PUSHED_WAIT));
+        let shared_wait = whole_millis(by_phase(MIN_SHARED_WAIT, MAX_SHARED_WAIT));
         PollSchedule {
-            pushed: !polls,
-            wait: if polls { shared_wait } else { pushed_wait },
-            wait_margin: if polls {
+            is_pushed: !polls,
+            steady_wait: if polls { shared_wait } else { pushed_wait },
+            steady_wait_margin: if polls {
                 SHARED_WAIT_MARGIN
             } else {
                 retry_pause
             },
             retry_pause,
-            first_pause: within(MIN_FIRST_PAUSE, MAX_FIRST_PAUSE),
-            retry_interval: within(MIN_RETRY_INTERVAL, MAX_RETRY_INTERVAL),
+            initial_backoff: by_phase(MIN_INITIAL_BACKOFF, MAX_INITIAL_BACKOFF),
+            backoff_limit: by_phase(MIN_BACKOFF_LIMIT, MAX_BACKOFF_LIMIT),
         }
     }
 
     /// How long a watch waits at this stage.
     pub(crate) fn watch_wait(&self, stage: WatchStage) -> Micros {
         match stage {
-            _ if self.pushed => self.wait,
-            WatchStage::Started | WatchStage::Recovering => FIRST_WAIT,
-            WatchStage::Answered => SECOND_WAIT,
-            WatchStage::Steady => self.wait,
+            _ if self.is_pushed => self.steady_wait,
+            WatchStage::Started | WatchStage::Recovering => FIRST_WATCH_WAIT,
+            WatchStage::Answered => SECOND_WATCH_WAIT,
+            WatchStage::Steady => self.steady_wait,
         }
     }
 
-    /// How long after its start a request is given up; `failures`: those before it.
+    /// How long after its start a request times out. `failures`: those before it.
     pub(crate) fn timeout(&self, request: DiscoveryRequest, failures: Failures) -> Micros {
         let timeout = match request {
-            DiscoveryRequest::Watch { wait, .. } if wait == self.wait => {
-                return wait + self.wait_margin
+            DiscoveryRequest::Watch { wait, .. } if wait == self.steady_wait => {
+                return wait + self.steady_wait_margin
             }
             DiscoveryRequest::Watch { wait, .. } => wait + QUEUE_ALLOWANCE,
             DiscoveryRequest::FullList => FULL_LIST_TIMEOUT,
@@ -138,9 +147,9 @@
         }
     }
 
-    /// The pause behind a request that has failed so; `failures`: it and those before it.
-    pub(crate) fn retry_pause_after(&self, error: &DiscoveryError, failures: Failures) -> Micros {
-        // A node that has waited in vain has paused already.
+    /// The delay of the next request after one that failed with `error`. `failures`: this failure and those before it.
+    pub(crate) fn retry_delay(&self, error: &DiscoveryError, failures: Failures) -> Micros {
+        // No further delay is needed: the node has already waited for the timeout.
         if matches!(
             error,
             DiscoveryError::Timeout | DiscoveryError::ConnectTimeout
@@ -148,11 +157,11 @@
             return 0;
         }
         let doublings = failures.errors.saturating_sub(1);
-        if !self.pushed {
-            let pause = self.first_pause << doublings.min(MAX_PAUSE_DOUBLINGS);
-            return pause.min(self.retry_interval);
+        if !self.is_pushed {
+            let pause = self.initial_backoff << doublings.min(MAX_BACKOFF_DOUBLINGS);
+            return pause.min(self.backoff_limit);
         }
-        // An agent answers at no cost.
+        // Requests to a local agent are cheap, so the first retry follows at once.
         if doublings == 0 {
             0
         } else {
@@ -161,17 +170,17 @@
     }
 }
 
-/// How long after its start a request whose connection has not come up is given up; `timeout`: that of the request.
+/// How long after its start a request times out if its connection is not established. `timeout`: that of the request.
 pub(crate) fn connect_timeout(timeout: Micros) -> Micros {
     timeout.min(CONNECT_TIMEOUT)
 }
 
-/// How long after its first byte an answer is given up.
-pub(crate) fn answer_timeout(failures: Failures) -> Micros {
+/// How long after its first byte an incomplete response times out. `failures`: those before its request.
+pub(crate) fn response_timeout(failures: Failures) -> Micros {
     if failures.timeouts < TIMEOUTS_BEFORE_LONGER {
-        ANSWER_TIMEOUT
+        RESPONSE_TIMEOUT
     } else {
-        LONG_ANSWER_TIMEOUT
+        LONG_RESPONSE_TIMEOUT
     }
 }
 
--- a/crates/node/src/discovery/server_starts.rs
+++ b/crates/node/src/discovery/server_starts.rs
@@ -1,9 +1,9 @@
-//! When servers started, on the node's clock.
+//! The start times of servers, on the node's clock.
 //!
-//! Discovery names a start in Unix time, and the node's wall clock or the server's may be wrong by any amount: a server that
-//! has just started would seem to be an hour old and get a full share. So a start is also compared with what the node knows
-//! without a wall clock: a server that a list of discovery did not hold yet, or held with another start, has started since
-//! shortly before that list.
+//! Discovery gives a start time in Unix time, but the wall clock of the node or of the server may be wrong by any amount: a
+//! server that has just started could appear to be an hour old, and would get a full share of the requests. Therefore a
+//! start time is also checked against the endpoint lists, for which no wall clock is needed: a server that the last list
+//! did not contain, or contained with another start time, cannot have started much earlier than that list arrived.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,36 +11,39 @@
 
 use super::endpoints::{EndpointList, ListedEndpoint};
 
-/// How long after its start a server is listed, at the latest; a start further back than the list without it is wrong.
+/// Longest time from the start of a server to its first listing. A start time that precedes the last list without the
+/// server by more than this is wrong.
 const MAX_LISTING_DELAY: Micros = 10_000_000;
 
-/// The start of a server as discovery names it and as the node uses it.
+/// The start time of a server as given by discovery (Unix time in milliseconds) and as used by the node; `started` is None
+/// if the server started long ago.
 #[derive(Clone, Copy)]
 struct KnownStart {
     boot_ms: i64,
     started: Option<Micros>,
 }
 
-/// The starts of the listed servers.
+/// The start times of the listed servers.
 pub(crate) struct ServerStarts {
-    /// When the node's clock began, in Unix time. Read once: the start of a server must not vary between two lists, or it
-    /// would seem to have started again.
-    process_start: Micros,
-    /// When discovery last answered with a list, which may have held no change.
+    /// Unix time at which the node's clock began. It is read once: if the start time of a server varied between two lists,
+    /// the server would appear to have restarted.
+    clock_start: Micros,
+    /// When the last list from discovery was applied, with or without a change; None before the first one.
     last_list: Option<Micros>,
     known: HashMap<ServerId, KnownStart>,
 }
 
 impl ServerStarts {
-    pub(crate) fn new(process_start: Micros) -> ServerStarts {
+    pub(crate) fn new(clock_start: Micros) -> ServerStarts {
         ServerStarts {
-            process_start,
+            clock_start,
             last_list: None,
             known: HashMap::new(),
         }
     }
 
-    /// The start of a server of the list that is being applied, on the node's clock; none for long ago.
+    /// Returns the start time of a server of the list that is being applied, on the node's clock; None if it started long
+    /// ago.
     pub(crate) fn start_of(&mut self, listed: &ListedEndpoint, now: Micros) -> Option<Micros> {
         let server = &listed.entry.server;
         let known = self.known.get(server);
@@ -48,7 +51,7 @@
             return known.started;
         }
         let by_wall_clock = self.start_by_wall_clock(listed.boot_ms, now);
-        let started = by_wall_clock.map(|start| self.not_before_last_list(start));
+        let started = by_wall_clock.map(|start| self.limit_to_last_list(start));
         if listed.entry.state != ServerState::Removed {
             let start = KnownStart {
                 boot_ms: listed.boot_ms,
@@ -59,7 +62,7 @@
         started
     }
 
-    /// A list has been applied: servers that it has removed are forgotten.
+    /// Records that a list has been applied, and forgets the servers that it has removed.
     pub(crate) fn list_applied(
         &mut self,
         list: &EndpointList,
@@ -71,7 +74,7 @@
                 self.known.remove(&listed.entry.server);
             }
         }
-        // The list of the configuration may be of any age.
+        // The list in the configuration is skipped, since it may be of any age.
         if kind != EndpointListKind::Cached {
             self.last_list = Some(now);
         }
@@ -81,18 +84,21 @@
         }
     }
 
+    /// Converts a start time to the node's clock; None if `boot_ms` is 0 or less, which means long ago.
     fn start_by_wall_clock(&self, boot_ms: i64, now: Micros) -> Option<Micros> {
         if boot_ms <= 0 {
             return None;
         }
         let start = boot_ms
             .saturating_mul(1000)
-            .saturating_sub(self.process_start);
-        // A server's clock may be ahead of this one; a start cannot lie in the future.
+            .saturating_sub(self.clock_start);
+        // The server's clock may be ahead of the node's; a start time in the future is replaced by the current time.
         Some(start.min(now))
     }
 
-    fn not_before_last_list(&self, start: Micros) -> Micros {
+    /// Returns the time of the last list instead of `start` if `start` is too early for a server that this list did not
+    /// contain, or contained with another start time.
+    fn limit_to_last_list(&self, start: Micros) -> Micros {
         match self.last_list {
             Some(last_list) if start < last_list.saturating_sub(MAX_LISTING_DELAY) => last_list,
             _ => start,
--- a/crates/node/src/discovery/server_starts_tests.rs
+++ b/crates/node/src/discovery/server_starts_tests.rs
@@ -14,7 +14,7 @@
     ServerStarts::new(PROCESS_START_MS * 1000)
 }
 
-/// Applies a list and returns the start of each of its servers.
+/// Applies a list and returns the start time of each of its servers.
 fn apply(
     starts: &mut ServerStarts,
     kind: EndpointListKind,
@@ -24,13 +24,13 @@
     let all = kind != EndpointListKind::Delta;
     let list = json!({"rev": 1, "all": all, "targets": targets});
     let list = parse_endpoint_list(&list).unwrap();
-    let all = list.targets.iter();
-    let found = all.map(|listed| starts.start_of(listed, now)).collect();
+    let entries = list.targets.iter();
+    let found = entries.map(|listed| starts.start_of(listed, now)).collect();
     starts.list_applied(&list, kind, now);
     found
 }
 
-/// The start of one server of the first list.
+/// The start time of the only server of a first list.
 fn first_start(boot_ms: i64, now: Micros) -> Option<Micros> {
     let targets = [target("s", "in_service", boot_ms)];
     apply(&mut starts(), EndpointListKind::Full, &targets, now)[0]
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn server_that_is_new_to_the_list_has_started_since_the_last_one_whatever_the_clocks_say() {
+fn server_new_to_the_list_starts_no_earlier_than_the_last_list_if_its_clock_is_wrong() {
     let hour_ago = PROCESS_START_MS - 3_600_000;
     let mut starts = starts();
     let old = target("old", "in_service", hour_ago);
@@ -61,7 +61,7 @@
     let listed = [old, new.clone()];
     let found = apply(&mut starts, EndpointListKind::Full, &listed, 20 * SECOND);
     assert_eq!(found, [Some(-hour), Some(SECOND)]);
-    // It keeps its start, and another one is a restart.
+    // The start time stays the same in later lists; a different one means a restart.
     let found = apply(&mut starts, EndpointListKind::Delta, &[new], 40 * SECOND);
     assert_eq!(found, [Some(SECOND)]);
     let again = target("new", "in_service", hour_ago + 55_000);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn start_that_the_last_list_allows_is_that_of_the_wall_clock() {
+fn start_shortly_before_the_last_list_is_taken_from_the_wall_clock() {
     let mut starts = starts();
     apply(&mut starts, EndpointListKind::Full, &[], 60 * SECOND);
     let new = target("new", "in_service", PROCESS_START_MS + 51_000);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn list_of_the_configuration_tells_nothing_of_when_a_server_started() {
+fn list_of_the_configuration_does_not_limit_start_times() {
     let mut starts = starts();
     apply(&mut starts, EndpointListKind::Cached, &[], 0);
     let new = target("new", "in_service", PROCESS_START_MS - 60_000);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn start_ahead_of_the_clock_does_not_move_with_each_list() {
+fn start_ahead_of_the_clock_stays_the_same_in_each_list() {
     let mut starts = starts();
     let ahead = [target("s", "in_service", PROCESS_START_MS + 3_600_000)];
     for now in [SECOND, 20 * SECOND] {
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn servers_that_are_no_more_listed_are_forgotten() {
+fn servers_that_are_no_longer_listed_are_forgotten() {
     let mut starts = starts();
     let both = ["a", "b"].map(|uid| target(uid, "in_service", PROCESS_START_MS));
     apply(&mut starts, EndpointListKind::Full, &both, SECOND);
