--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -1,15 +1,15 @@
-//! What the owners of connections share: the transport, the events of its last poll, a read buffer, the log.
+//! The transport, the event buffer, the read buffer and the log, which all parts of the node that use connections share.
 
 use sloewick_decision::api::Micros;
 
 use crate::transport::{Log, ReadyEvent, Transport, MAX_READ};
 
-/// The transport and what goes with it.
+/// The transport with the buffers and the log that are used with it.
 pub(crate) struct Io<N> {
     pub(crate) net: N,
-    /// An empty buffer for the events of the next poll.
+    /// Buffer for the events of the next poll; its content is that of the last one.
     pub(crate) ready: Vec<ReadyEvent>,
-    /// Scratch space for reads.
+    /// Scratch space for reads, [`MAX_READ`] bytes long.
     pub(crate) scratch: Vec<u8>,
     log: Log,
 }
@@ -28,7 +28,7 @@
         self.net.now()
     }
 
-    /// Writes a log line.
+    /// Writes a log line, unless the limit per second is reached.
     pub(crate) fn log(&mut self, text: &str) {
         self.log.line(&mut self.net, text);
     }
--- a/crates/node/src/mio_transport.rs
+++ b/crates/node/src/mio_transport.rs
@@ -1,4 +1,4 @@
-//! The [`Transport`] of a real process: sockets, the system's clocks, signals and standard error, by way of mio.
+//! The [`Transport`] of a real process: sockets with mio, the system's clocks, signals, snapshot files and standard error.
 
 use std::io::{self, ErrorKind, IoSlice, Read, Write};
 use std::net::{self, Shutdown, SocketAddr};
@@ -21,25 +21,27 @@
     PendingSignals, ReadyEvent, SnapshotSave, Stream, Token, Transport, SIGNALS,
 };
 
+/// Length of the accept queue of a listener.
 const BACKLOG: i32 = 1024;
-/// Longest log line in bytes; a pipe that is ready takes this much without blocking (`PIPE_BUF` is 4,096).
+/// Longest log line in bytes. A pipe that is ready for writing accepts this much without blocking (`PIPE_BUF` is 4,096).
 const MAX_LOG_LINE: usize = 400;
-/// Bytes of a character in UTF-8.
-const MAX_CHARACTER: usize = 4;
+/// Most bytes of a character in UTF-8.
+const MAX_CHARACTER_BYTES: usize = 4;
 /// Longest line of a trace in characters; its ids are at most this long together.
 const MAX_TRACE_LINE: usize = 400;
-/// Events taken by one poll; more wait for the next.
+/// Most events returned by one poll; further ones are returned by the next.
 const MAX_EVENTS: usize = 256;
-/// The name of the file with a snapshot, and its longest content in bytes.
+/// The name of the snapshot file.
 const SNAPSHOT_NAME: &str = "sloewick-handover";
+/// Longest snapshot in bytes.
 const MAX_SNAPSHOT: usize = 1 << 20;
-/// Identifies the machine's start (proc(5)).
+/// The file with a random id of the machine's current boot (proc(5)).
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 const MICROS_PER_SECOND: Micros = 1_000_000;
 const NANOS_PER_MICRO: Micros = 1_000;
 
-/// Signals that have come and were not taken yet. For a process its handlers set them; for a node that runs on a thread another
-/// thread sends them. They arrive with the next poll.
+/// Signals that have arrived and have not been taken yet. In a process of its own a node gets them from signal handlers; a
+/// node that runs on one of several threads gets them from another thread. They are reported by the next poll.
 #[derive(Debug, Default)]
 pub struct SignalFlags {
     reload: Arc<AtomicBool>,
@@ -47,8 +49,8 @@
 }
 
 impl SignalFlags {
-    /// Lets the handlers of a process set the flags.
-    fn set_by_handlers(&self) -> io::Result<()> {
+    /// Registers signal handlers that set the flags.
+    fn register_handlers(&self) -> io::Result<()> {
         signal_hook::flag::register(SIGHUP, Arc::clone(&self.reload))?;
         for signal in [SIGTERM, SIGINT] {
             signal_hook::flag::register(signal, Arc::clone(&self.stop))?;
@@ -56,7 +58,7 @@
         Ok(())
     }
 
-    /// Sends signals to the node.
+    /// Sends signals to the node, in addition to those that are pending.
     pub fn send(&self, signals: PendingSignals) {
         self.reload.fetch_or(signals.reload, Ordering::Relaxed);
         self.stop.fetch_or(signals.stop, Ordering::Relaxed);
@@ -66,6 +68,7 @@
         self.reload.load(Ordering::Relaxed) || self.stop.load(Ordering::Relaxed)
     }
 
+    /// Takes and clears the pending signals.
     fn take(&self) -> PendingSignals {
         PendingSignals {
             reload: self.reload.swap(false, Ordering::Relaxed),
@@ -74,56 +77,58 @@
     }
 }
 
-/// Where snapshots are read and written.
+/// The file from which snapshots are read, and the thread that writes them.
 struct Snapshots {
     file: SnapshotFile,
     writer: SnapshotWriter,
 }
 
-/// A connection that was accepted, and could not be registered with the poll yet.
+/// An accepted connection that could not be registered with the poll yet.
 struct UnregisteredConnection {
+    /// Descriptor of the listener that accepted it.
     listener: RawFd,
     stream: net::TcpStream,
 }
 
-/// The system, for one process or one of its threads.
+/// A [`Transport`] on the operating system, for a process or for one of its threads.
 pub struct MioTransport {
     poll: Poll,
     events: Events,
     signals: Arc<SignalFlags>,
-    /// Ends a poll when a signal comes. The write for it may fail, so that what has come is told by the flags alone.
-    wake: Option<Signals>,
-    /// A thread beside others, which logs nothing.
-    is_remote: bool,
+    /// Interrupts a poll when a signal arrives; None if the process handles no signals here. The handler's write to its
+    /// pipe may fail, so that only the flags tell which signals have arrived.
+    signal_waker: Option<Signals>,
+    /// Log and trace lines are dropped.
+    is_log_disabled: bool,
     snapshots: Option<Snapshots>,
-    /// At most one of each listener: its next accept takes this one first.
+    /// Connections that the next accept of their listener returns first; at most one for each listener.
     unregistered: Vec<UnregisteredConnection>,
     started: Instant,
     unix_time_at_start: Micros,
 }
 
 impl MioTransport {
-    /// For a process of its own: SIGHUP, SIGTERM and SIGINT are handled.
+    /// Creates the transport of a process that runs one node. It handles SIGHUP, SIGTERM and SIGINT.
     ///
     /// # Errors
-    /// The system's, if it has no resources for a poll or for the signals.
+    /// Returns the operating system's error if it has no resources for a poll or for the signal handlers.
     pub fn with_signals() -> io::Result<MioTransport> {
         let mut transport = MioTransport::new()?;
-        transport.signals.set_by_handlers()?;
+        transport.signals.register_handlers()?;
         let registry = transport.poll.registry();
-        let wake = retry_transient(|| {
-            let mut wake = Signals::new([SIGHUP, SIGTERM, SIGINT])?;
-            registry.register(&mut wake, mio::Token(SIGNALS), Interest::READABLE)?;
-            Ok(wake)
+        let signal_waker = retry_transient(|| {
+            let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT])?;
+            registry.register(&mut signals, mio::Token(SIGNALS), Interest::READABLE)?;
+            Ok(signals)
         })?;
-        transport.wake = Some(wake);
+        transport.signal_waker = Some(signal_waker);
         Ok(transport)
     }
 
-    /// Saves snapshots for the next process in this folder, and loads them from there.
+    /// Saves snapshots for the next process to a file in `folder`, and loads them from there.
     ///
     /// # Errors
-    /// The system's, if it has no resources for a thread.
+    /// Returns the operating system's error if it has no resources for the thread that writes snapshots.
     pub fn save_snapshots_in(&mut self, folder: &Path) -> io::Result<()> {
         let file = SnapshotFile::new(folder, SNAPSHOT_NAME, MAX_SNAPSHOT);
         let writer = retry_transient(|| SnapshotWriter::start(file.clone()))?;
@@ -131,22 +136,23 @@
         Ok(())
     }
 
-    /// For one of several threads, with signals that another thread sends; it logs nothing.
+    /// Creates the transport of a node on one of several threads. It gets its signals from another thread and drops log and
+    /// trace lines.
     ///
     /// # Errors
-    /// The system's, if it has no resources for a poll.
+    /// Returns the operating system's error if it has no resources for a poll.
     pub fn remote(signals: Arc<SignalFlags>) -> io::Result<MioTransport> {
         Ok(MioTransport {
             signals,
-            is_remote: true,
+            is_log_disabled: true,
             ..MioTransport::new()?
         })
     }
 
-    /// For one of several threads: signals are left to others.
+    /// Creates the transport of one of several threads, without signal handling.
     ///
     /// # Errors
-    /// The system's, if it has no resources for a poll.
+    /// Returns the operating system's error if it has no resources for a poll.
     pub fn new() -> io::Result<MioTransport> {
         let unix_time_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -155,8 +161,8 @@
             poll: retry_transient(Poll::new)?,
             events: Events::with_capacity(MAX_EVENTS),
             signals: Arc::default(),
-            wake: None,
-            is_remote: false,
+            signal_waker: None,
+            is_log_disabled: false,
             snapshots: None,
             unregistered: Vec::new(),
             started: Instant::now(),
@@ -164,7 +170,8 @@
         })
     }
 
-    /// The listener that `open` makes, which is registered; both are retried at a start.
+    /// Opens a listener with `open` and registers it with the poll. Transient failures of either are retried, since the
+    /// process is starting.
     fn register_listener(
         &self,
         token: Token,
@@ -172,7 +179,7 @@
     ) -> io::Result<TcpListener> {
         let registry = self.poll.registry();
         retry_transient(|| {
-            // Each try has a listener of its own: one whose registration failed cannot be registered again.
+            // Each retry opens a new listener, since one whose registration failed cannot be registered again.
             let mut listener = TcpListener::from_std(open()?.into());
             registry.register(&mut listener, mio::Token(token), Interest::READABLE)?;
             Ok(listener)
@@ -180,27 +187,28 @@
     }
 
     fn register_stream(&mut self, stream: &mut TcpStream, token: Token) -> io::Result<()> {
-        let both = Interest::READABLE | Interest::WRITABLE;
+        let interests = Interest::READABLE | Interest::WRITABLE;
         self.poll
             .registry()
-            .register(stream, mio::Token(token), both)
+            .register(stream, mio::Token(token), interests)
     }
 
-    /// The next connection of a listener: one that waits to be registered, else one from its accept queue.
+    /// The next connection of a listener: the one that could not be registered before, otherwise one from the accept queue.
     fn next_connection(&mut self, listener: &TcpListener) -> io::Result<TcpStream> {
         let fd = listener.as_raw_fd();
         match self.unregistered.iter().position(|u| u.listener == fd) {
             Some(index) => {
-                let waiting = self.unregistered.swap_remove(index);
-                Ok(TcpStream::from_std(waiting.stream))
+                let unregistered = self.unregistered.swap_remove(index);
+                Ok(TcpStream::from_std(unregistered.stream))
             }
             None => listener.accept().map(|(stream, _)| stream),
         }
     }
 
-    /// Writes a line to standard error, unless that would block.
+    /// Writes a line to standard error without control characters, shortened to `max_characters`. Drops it if the write
+    /// would block.
     fn write_line(&mut self, line: &str, max_characters: usize) {
-        if self.is_remote {
+        if self.is_log_disabled {
             return;
         }
         let mut line: String = line
@@ -216,21 +224,22 @@
     }
 }
 
+/// Whether a write to standard error would not block now.
 fn is_writable(stderr: &io::Stderr) -> bool {
     use rustix::event::{poll, PollFd, PollFlags, Timespec};
     let mut ready = [PollFd::new(stderr, PollFlags::OUT)];
-    let at_once = Timespec {
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    let polled = poll(&mut ready, Some(&at_once));
+    let polled = poll(&mut ready, Some(&no_wait));
     polled.is_ok_and(|n| n > 0) && ready[0].revents().contains(PollFlags::OUT)
 }
 
 fn open_listener(at: SocketAddr) -> io::Result<socket2::Socket> {
     use socket2::{Domain, Socket, Type};
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, None)?;
-    // After a restart the address is still in use by connections of the previous process.
+    // After a restart, connections of the previous process still use the address.
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
     socket.bind(&at.into())?;
@@ -238,23 +247,23 @@
     Ok(socket)
 }
 
-/// A listening socket that the process inherited, by its descriptor.
+/// Duplicates a listening socket that the process inherited under the descriptor `fd`.
 fn duplicate_listener(fd: i32) -> io::Result<socket2::Socket> {
-    // SAFETY: the number is only duplicated, and the descriptor is not closed meanwhile: whoever started
-    // this process opened it, and nothing here owns it. One that is not open gives EBADF.
+    // SAFETY: the descriptor is only duplicated, and is not closed meanwhile: the process that started this
+    // one opened it, and nothing here owns it. If it is not open, the call fails with EBADF.
     let inherited = unsafe { std::os::fd::BorrowedFd::borrow_raw(fd) }.try_clone_to_owned()?;
     let socket = socket2::Socket::from(inherited);
     if !rustix::net::sockopt::socket_acceptconn(&socket)? {
         return Err(io::Error::new(
             ErrorKind::InvalidInput,
-            "is no listening socket",
+            "is not a listening socket",
         ));
     }
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-/// The event of signals that have come.
+/// The event that reports pending signals.
 const SIGNALS_READY: ReadyEvent = ReadyEvent {
     token: SIGNALS,
     readable: true,
@@ -287,7 +296,7 @@
     }
 
     fn boot_id(&self) -> String {
-        // Without the file all starts of the machine count as one.
+        // If the file cannot be read, all boots of the machine have the same, empty id.
         std::fs::read_to_string(BOOT_ID_FILE).unwrap_or_default()
     }
 
@@ -309,7 +318,8 @@
         match self.register_stream(&mut stream, token) {
             Ok(()) => Ok(stream),
             Err(error) => {
-                // Its client may have sent a request already, and is owed an answer.
+                // The connection is kept for the next accept: its client may already have sent a request, which must get a
+                // response.
                 self.unregistered.push(UnregisteredConnection {
                     listener: listener.as_raw_fd(),
                     stream: stream.into(),
@@ -341,8 +351,9 @@
     }
 
     fn take_signals(&mut self) -> PendingSignals {
-        // Emptied first: what comes behind it wakes the next poll.
-        for _ in self.wake.iter_mut().flat_map(Signals::pending) {}
+        // The waker is drained before the flags are read, so that a signal that arrives in between interrupts the next
+        // poll.
+        for _ in self.signal_waker.iter_mut().flat_map(Signals::pending) {}
         self.signals.take()
     }
 
@@ -365,10 +376,10 @@
         }
     }
 
-    /// Guards against a reader of the log that stops reading: a line that the pipe does not take is dropped, since a write
-    /// that blocks would hold up every request.
+    /// Drops the line if the pipe of standard error is full: if the reader of the log stops reading, a blocking write would
+    /// delay every request.
     fn log(&mut self, line: &str) {
-        self.write_line(line, MAX_LOG_LINE / MAX_CHARACTER);
+        self.write_line(line, MAX_LOG_LINE / MAX_CHARACTER_BYTES);
     }
 
     fn trace(&mut self, line: &str) {
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -1,12 +1,12 @@
-//! The interface to sockets, clock and polling, and what all connections share above it: reading, queued writing, and the
-//! log.
+//! The interface to sockets, clocks, polling, signals, snapshots and the log, and helpers that use it: reading into a
+//! buffer, queued writes and rate-limited logging.
 //!
-//! Code that serves over a [`Transport`] runs unchanged on real sockets ([`crate::mio_transport::MioTransport`]) and on a
-//! virtual network. Readiness is edge-triggered: an event reports what has happened since the last one, and is not repeated
-//! for input that was left unread.
+//! Code that uses a [`Transport`] runs unchanged on real sockets ([`crate::mio_transport::MioTransport`]) and on a virtual
+//! network. Readiness is edge-triggered: an event reports what has happened since the last one, and is not repeated for
+//! input that was left unread.
 //!
-//! Bounds: a read takes at most [`MAX_READ`] bytes, a [`Log`] writes a bounded number of lines a second. The length of a
-//! [`WriteQueue`] is bounded by whoever fills it.
+//! Bounds: a read returns at most [`MAX_READ`] bytes, and a [`Log`] writes a bounded number of lines per second. The owner
+//! of a [`WriteQueue`] bounds its length.
 
 use std::collections::VecDeque;
 use std::io::{self, ErrorKind, IoSlice};
@@ -15,82 +15,84 @@
 use bytes::{Bytes, BytesMut};
 use sloewick_decision::api::Micros;
 
-/// Identifies the connection or listener that an event is about; chosen by whoever opened it.
+/// Identifies the connection or listener of an event; chosen by the code that opened it.
 pub type Token = usize;
-/// The token of events that a [`Transport`] produces itself when signals have arrived.
+/// The token of the event that a [`Transport`] reports when signals have arrived.
 pub const SIGNALS: Token = 1;
 
 /// What has happened on a connection or listener since the last event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReadyEvent {
-    /// The connection or listener.
+    /// Token of the connection or listener.
     pub token: Token,
     /// There may be input to read, or connections to accept.
     pub readable: bool,
-    /// Output may be written.
+    /// The socket may accept output.
     pub writable: bool,
-    /// The peer has ended its sending, or the connection failed.
+    /// The peer has closed its sending side, or the connection has failed.
     pub read_closed: bool,
-    /// The connection failed.
+    /// The connection has failed.
     pub error: bool,
 }
 
-/// The signals that the process has received since they were last taken.
+/// The signals that have arrived since the last [`Transport::take_signals`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PendingSignals {
-    /// Read the configuration again.
+    /// A reload of the configuration is requested.
     pub reload: bool,
-    /// Shut down gracefully.
+    /// A graceful shutdown is requested.
     pub stop: bool,
 }
 
 /// The result of [`Transport::save_snapshot`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum SnapshotSave {
-    /// Snapshots are not kept here.
+    /// This transport saves no snapshots.
     Disabled,
     /// The snapshot is being written.
     Started,
-    /// The previous one is still being written; this one is dropped.
+    /// The previous snapshot is still being written, so this one is dropped.
     Busy,
-    /// This one is being written, but an earlier one failed for this reason.
+    /// An earlier snapshot could not be written, for this reason. This one is written, or dropped if a write is in
+    /// progress.
     Failed(String),
 }
 
-/// A TCP connection that never blocks: a call that would block fails with [`ErrorKind::WouldBlock`]. Dropping it closes it.
+/// A non-blocking TCP connection: a call that would block fails with [`ErrorKind::WouldBlock`]. Dropping it closes the
+/// connection.
 pub trait Stream {
-    /// Reads bytes from the peer; 0: the peer has ended its sending.
+    /// Reads bytes and returns their number; 0 means that the peer has closed its sending side.
     ///
     /// # Errors
-    /// The system's; [`ErrorKind::WouldBlock`] if nothing has arrived.
+    /// Returns the operating system's error; [`ErrorKind::WouldBlock`] if no bytes have arrived.
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize>;
-    /// Writes bytes and returns how many the kernel took.
+    /// Writes bytes and returns how many the kernel accepted.
     ///
     /// # Errors
-    /// The system's; [`ErrorKind::WouldBlock`] if the kernel takes none now.
+    /// Returns the operating system's error; [`ErrorKind::WouldBlock`] if the kernel accepts none now.
     fn write(&mut self, chunks: &[IoSlice<'_>]) -> io::Result<usize>;
-    /// Whether the kernel holds no unread input, and the peer has not ended its sending.
+    /// Whether the kernel holds no unread input, and the peer has not closed its sending side.
     fn has_no_input(&self) -> bool;
-    /// Takes the error that broke the connection, if there is one.
+    /// Takes the pending error of the socket, with which the connection has failed; None if there is none.
     ///
     /// # Errors
-    /// The system's, if this is not a connection any more.
+    /// Returns the operating system's error if the socket is no longer a connection.
     fn take_error(&self) -> io::Result<Option<io::Error>>;
     /// Checks that a connection which is being opened is established.
     ///
     /// # Errors
-    /// [`ErrorKind::NotConnected`] if it is not established yet.
+    /// Returns [`ErrorKind::NotConnected`] if the connection is not established yet.
     fn check_connected(&self) -> io::Result<()>;
-    /// Ends this side's sending.
+    /// Closes the sending side of the connection.
     ///
     /// # Errors
-    /// The system's, if the connection is broken.
+    /// Returns the operating system's error if the connection has failed.
     fn shutdown_write(&mut self) -> io::Result<()>;
-    /// Limits what the kernel buffers for a peer that does not read, in bytes.
+    /// Limits the number of bytes that the kernel buffers for a peer that does not read.
     fn limit_send_buffer(&mut self, bytes: usize);
 }
 
-/// The only access to sockets, clock and polling.
+/// The only access of the node to sockets, clocks, polling, signals, snapshots and the log.
 pub trait Transport {
     /// A connection.
     type Stream: Stream;
@@ -98,51 +100,53 @@
     type Listener;
     /// Time since the process started.
     fn now(&self) -> Micros;
-    /// A clock that is not stepped and that all processes of one [`Transport::boot_id`] share.
+    /// A monotonic clock that all processes with the same [`Transport::boot_id`] share.
     fn machine_time(&self) -> Micros;
-    /// Identifies the start of the machine since which its [`Transport::machine_time`] runs.
+    /// Identifies the boot of the machine since which [`Transport::machine_time`] has run.
     fn boot_id(&self) -> String;
     /// Unix time at the start of the process, read once.
     fn unix_time_at_start(&self) -> Micros;
     /// Listens on an address.
     ///
     /// # Errors
-    /// The system's, if the address cannot be listened on.
+    /// Returns the operating system's error if it is not possible to listen on the address.
     fn listen(&mut self, at: SocketAddr, token: Token) -> io::Result<Self::Listener>;
-    /// Listens on a socket that the process inherited, by its descriptor.
+    /// Accepts connections on a listening socket that the process inherited under the descriptor `fd`.
     ///
     /// # Errors
-    /// The descriptor is no listening socket; [`ErrorKind::Unsupported`] where processes inherit nothing.
+    /// Returns an error if the descriptor is not a listening socket; [`ErrorKind::Unsupported`] if the transport does not
+    /// support inherited sockets.
     fn inherit(&mut self, _fd: i32, _token: Token) -> io::Result<Self::Listener> {
         Err(ErrorKind::Unsupported.into())
     }
-    /// Accepts the next connection; `token` is that of the new connection.
+    /// Accepts the next connection. `token`: the token of the new connection.
     ///
     /// # Errors
-    /// The system's; [`ErrorKind::WouldBlock`] if no connection waits.
+    /// Returns the operating system's error; [`ErrorKind::WouldBlock`] if no connection is waiting.
     fn accept(&mut self, listener: &mut Self::Listener, token: Token) -> io::Result<Self::Stream>;
     /// Starts to open a connection.
     ///
     /// # Errors
-    /// The system's, if the connection is refused at once or no descriptor is free.
+    /// Returns the operating system's error if the connection is refused at once or no descriptor is free.
     fn connect(&mut self, to: SocketAddr, token: Token) -> io::Result<Self::Stream>;
-    /// Clears `ready` and waits until something happens or `wait` has passed (0: returns at once).
+    /// Replaces the content of `ready` by the next events. Waits until there is one, for at most `wait`; with 0 it returns
+    /// at once.
     ///
     /// # Errors
-    /// The system's.
+    /// Returns the operating system's error.
     fn poll(&mut self, ready: &mut Vec<ReadyEvent>, wait: Micros) -> io::Result<()>;
-    /// Writes a line of the trace. Default: dropped.
+    /// Writes a line of the event trace. Default: the line is dropped.
     fn trace(&mut self, _line: &str) {}
     /// Takes the signals that have arrived since the last call.
     fn take_signals(&mut self) -> PendingSignals;
-    /// Loads the snapshot that an earlier process of this node has saved; none where there is none.
+    /// Loads the snapshot that an earlier process of this node has saved; None if there is none.
     ///
     /// # Errors
-    /// It exists and cannot be read.
+    /// Returns an error if the snapshot exists and cannot be read.
     fn load_snapshot(&mut self) -> io::Result<Option<Vec<u8>>> {
         Ok(None)
     }
-    /// Saves a snapshot in place of the previous one, without waiting until it is written.
+    /// Replaces the previous snapshot, without waiting until the new one is written.
     fn save_snapshot(&mut self, _snapshot: Vec<u8>) -> SnapshotSave {
         SnapshotSave::Disabled
     }
@@ -150,39 +154,42 @@
     fn log(&mut self, line: &str);
 }
 
-/// Whether an error says that no file descriptor is free, for the process (EMFILE) or the system (ENFILE).
+/// Whether an error means that no file descriptor is free for the process (EMFILE) or the system (ENFILE).
 pub fn is_descriptor_limit(e: &io::Error) -> bool {
     const EMFILE: i32 = 24;
     const ENFILE: i32 = 23;
     matches!(e.raw_os_error(), Some(EMFILE | ENFILE))
 }
 
-/// Whether an error says that the system had no buffer or memory for a transfer at this moment: the connection is as it was.
+/// Whether an error means that the system had no buffer (ENOBUFS) or memory (ENOMEM) for a transfer at this moment. The
+/// state of the connection is unchanged.
 pub(crate) fn is_buffer_shortage(e: &io::Error) -> bool {
     const ENOMEM: i32 = 12;
     const ENOBUFS: i32 = 105;
     matches!(e.raw_os_error(), Some(ENOMEM | ENOBUFS))
 }
 
-/// Bytes taken by one read; also the amount of a long value that is buffered at a time.
+/// Longest read in bytes; also the amount of a long value that is buffered at a time.
 pub const MAX_READ: usize = 64 << 10;
-/// Chunks given to the kernel in one call.
+/// Most chunks that are passed to the kernel in one call.
 const MAX_CHUNKS_PER_WRITE: usize = 16;
 
 /// The result of one read.
 #[derive(Debug, PartialEq)]
 pub enum ReadOutcome {
-    /// Bytes were read, and the socket may hold more: also behind a short read, which need not have emptied it.
+    /// Bytes were read, and the socket may hold more. This also holds after a read that did not fill the scratch space,
+    /// which may have left input.
     More,
-    /// Nothing was there to read.
+    /// The socket held no input.
     Empty,
-    /// The peer has ended its sending.
+    /// The peer has closed its sending side.
     Closed,
-    /// The connection failed: what was read before may be cut anywhere.
+    /// The connection has failed; the bytes read before may end anywhere in a message.
     Failed,
 }
 
-/// Reads once into `buf` by way of the shared scratch space, so that idle connections hold no buffer.
+/// Reads once and appends the bytes to `buf`. The read uses the shared scratch space, so that idle connections hold no
+/// buffer.
 pub fn fill<S: Stream>(stream: &mut S, buf: &mut BytesMut, scratch: &mut [u8]) -> ReadOutcome {
     loop {
         match stream.read(scratch) {
@@ -214,20 +221,20 @@
         }
     }
 
-    /// Number of bytes that wait.
+    /// Number of bytes in the queue.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether no bytes wait.
+    /// Whether the queue holds no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Writes what the kernel takes now and returns how many bytes that was.
+    /// Writes as many bytes as the kernel accepts now, and returns their number.
     ///
     /// # Errors
-    /// The connection failed.
+    /// Returns the operating system's error if the connection has failed.
     pub fn flush<S: Stream>(&mut self, stream: &mut S) -> io::Result<usize> {
         let mut written = 0;
         while self.len > 0 {
@@ -261,18 +268,20 @@
     }
 }
 
-/// Writes log lines, at most `MAX_LOG_LINES_PER_SECOND`; more are dropped.
+/// Writes log lines, at most `MAX_LOG_LINES_PER_SECOND`; further ones are dropped.
 #[derive(Default)]
 pub struct Log {
+    /// The current second, counted from the start of the process.
     second: i64,
+    /// Number of lines in this second, including dropped ones.
     lines: u32,
 }
 
-/// Enough to see what happens, too few to cost anything when a peer provokes a line with each reply.
+/// Enough lines to follow what happens; the limit bounds the cost of logging when a peer causes a line with each reply.
 const MAX_LOG_LINES_PER_SECOND: u32 = 20;
 
 impl Log {
-    /// Writes one line, unless the bound for this second is reached.
+    /// Writes one line, unless the limit for this second is reached.
     pub fn line<N: Transport>(&mut self, net: &mut N, text: &str) {
         let second = net.now() / 1_000_000;
         if second != self.second {
--- a/crates/node/src/upstream/connection.rs
+++ b/crates/node/src/upstream/connection.rs
@@ -18,7 +18,7 @@
 /// latency of connections across zones alone varies by some milliseconds.
 const QUARANTINE_TIME: Micros = 30_000;
 
-/// The purpose of a request and its response on a connection.
+/// The use of a connection for one request and its response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Exchange {
     /// An attempt of a request.
