--- a/crates/overload/src/admission_ramp.rs
+++ b/crates/overload/src/admission_ramp.rs
@@ -1,63 +1,76 @@
-//! Which fraction of the requests that may need the origin is admitted while it is overloaded, and how fast
-//! the fraction rises again afterwards.
+//! Limits the fraction of the requests that may need the origin while the origin is overloaded, and raises
+//! the fraction again afterwards.
 //!
-//! It is a fraction of the requests and not a number of them: the fractions of all nodes add up to a fraction
-//! of the fleet's load, however many nodes there are and however uneven their traffic is. Each node lowers
-//! and raises its own by its own evidence, so not all of them do so at one instant.
+//! The limit is a fraction of the requests because the fractions of all nodes add up to a fraction of the
+//! fleet's load, for any number of nodes and any distribution of the traffic over them. Each node lowers and
+//! raises its own fraction based on the outcomes that it observes itself, so the nodes do not all change
+//! theirs at the same instant.
 //!
-//! Guarantees: the fraction lies between `MIN_FRACTION` and 1. From the minimum it reaches 1 within five
-//! seconds without an overload, and within two if the last overload began while it was 1, as long as requests
-//! come: between two requests it moves by a second's worth at most, so that a process that was stopped
-//! resumes with the state that it had, and continues from there. While no time passes it does not move.
+//! Guarantees:
+//!
+//! - The fraction lies between `MIN_FRACTION` and 1.
+//! - Without an overload it rises from the minimum to 1 within five seconds, or within two seconds if the
+//!   last overload began while it was 1, provided that requests keep arriving.
+//! - Between two requests it changes by at most the change of one second (`MAX_STEP`). A process that was
+//!   suspended therefore resumes with its previous state and continues from there.
+//! - While no time passes it does not change.
 
 use crate::detector::Micros;
 
-/// The least fraction: what still goes to see whether the overload is over. All nodes together then send a
-/// fiftieth of the usual requests.
+/// Minimum of the admitted fraction. The requests that it admits probe whether the overload has ended. At
+/// this minimum all nodes together send one fiftieth of the usual requests.
 const MIN_FRACTION: f64 = 0.02;
-/// The fraction above which it falls fast. An origin that is eight times slower and usually serves less than
-/// half of what it can still bears a quarter of the usual fetches; a fifth lets its queue run empty, while
-/// caches hold popular keys.
-const FAST_FALL_ABOVE: f64 = 0.2;
-/// The time in which the fraction falls to 1/e: about what detection takes; and below `FAST_FALL_ABOVE`,
-/// which only a load that stays too high reaches.
-const FALL_TIME: f64 = 1_000_000.0;
+/// Fraction above which it falls fast. An origin that is eight times slower than usual, and usually runs at
+/// less than half of its capacity, can still serve a quarter of the usual fetches. At one fifth its queue
+/// drains, while caches hold popular keys.
+const FAST_FALL_THRESHOLD: f64 = 0.2;
+/// Time in which the fraction falls to 1/e above `FAST_FALL_THRESHOLD`, in microseconds: about the time that
+/// detection takes.
+const FAST_FALL_TIME: f64 = 1_000_000.0;
+/// Time in which the fraction falls to 1/e at or below `FAST_FALL_THRESHOLD`, in microseconds. Only a
+/// load that stays too high lowers the fraction that far.
 const SLOW_FALL_TIME: f64 = 20_000_000.0;
-/// The time in which it rises by e, up to half of the fraction at which the last overload began, and beyond:
-/// a new overload would be detected within the second.
-const RISE_TIME: f64 = 500_000.0;
+/// Time in which the fraction rises by a factor of e below `fast_rise_threshold`, in microseconds.
+const FAST_RISE_TIME: f64 = 500_000.0;
+/// Time in which the fraction rises by a factor of e from `fast_rise_threshold` on, in microseconds. A new
+/// overload would be detected within this second.
 const SLOW_RISE_TIME: f64 = 1_000_000.0;
-/// Longest time between two requests that counts as time in which the state was held.
+/// Maximum time between two requests that changes the fraction, in microseconds. Time beyond it is ignored.
 const MAX_STEP: Micros = 1_000_000;
 
-/// The admitted fraction of one node. See the module.
+/// The fraction of requests that one node admits. The module documentation describes its guarantees.
 #[derive(Clone, Debug)]
 pub struct AdmissionRamp {
     fraction: f64,
-    /// Half of the fraction at which the last overload began.
-    fast_rise_below: f64,
+    /// Fraction below which it rises fast: half of the fraction at which the last overload began, or 1 if
+    /// that was 1.
+    fast_rise_threshold: f64,
+    /// Whether the origin was overloaded at the last update.
     overloaded: bool,
-    updated: Micros,
+    /// Latest time of an update.
+    updated_at: Micros,
 }
 
 impl AdmissionRamp {
-    /// Everything is admitted.
+    /// Creates a ramp that admits all requests.
     pub fn new(now: Micros) -> AdmissionRamp {
         AdmissionRamp {
             fraction: 1.0,
-            fast_rise_below: 1.0,
+            fast_rise_threshold: 1.0,
             overloaded: false,
-            updated: now,
+            updated_at: now,
         }
     }
 
-    /// The fraction to admit now, while the origin is overloaded or not.
+    /// Updates the fraction to the time `now` and returns it. `overloaded` tells whether the origin is
+    /// overloaded at that time.
     pub fn admitted_fraction(&mut self, now: Micros, overloaded: bool) -> f64 {
-        let elapsed = (now - self.updated).clamp(0, MAX_STEP) as f64;
-        self.updated = self.updated.max(now);
+        let elapsed = (now - self.updated_at).clamp(0, MAX_STEP) as f64;
+        self.updated_at = self.updated_at.max(now);
         if overloaded && !self.overloaded {
-            // One overload in calm says nothing of the usual load; one that begins during the rise does.
-            self.fast_rise_below = if self.fraction >= 1.0 {
+            // An overload that begins at full admission does not show that the usual load is too high. One
+            // that begins during the rise does.
+            self.fast_rise_threshold = if self.fraction >= 1.0 {
                 1.0
             } else {
                 self.fraction / 2.0
@@ -65,9 +78,9 @@
         }
         self.overloaded = overloaded;
         let exponent = match overloaded {
-            true if self.fraction > FAST_FALL_ABOVE => -elapsed / FALL_TIME,
+            true if self.fraction > FAST_FALL_THRESHOLD => -elapsed / FAST_FALL_TIME,
             true => -elapsed / SLOW_FALL_TIME,
-            false if self.fraction < self.fast_rise_below => elapsed / RISE_TIME,
+            false if self.fraction < self.fast_rise_threshold => elapsed / FAST_RISE_TIME,
             false => elapsed / SLOW_RISE_TIME,
         };
         self.fraction = (self.fraction * exponent.exp()).clamp(MIN_FRACTION, 1.0);
