--- a/crates/gateway/src/circuit_breaker_tests.rs
+++ b/crates/gateway/src/circuit_breaker_tests.rs
@@ -4,11 +4,11 @@
     failure_threshold: 3,
     initial_backoff: 1_000,
     max_backoff: 4_000,
-    budget: 10.0,
-    budget_per_success: 0.1,
+    max_tokens: 10.0,
+    tokens_per_success: 0.1,
 };
 
-fn cross(breaker: &mut CircuitBreaker, now: Micros, outcome: CrossingOutcome) {
+fn cross_with_outcome(breaker: &mut CircuitBreaker, now: Micros, outcome: CrossingOutcome) {
     assert!(breaker.try_cross(now));
     breaker.record(now, outcome);
 }
@@ -23,10 +23,10 @@
         CrossingOutcome::Failed,
         CrossingOutcome::Failed,
     ] {
-        cross(&mut breaker, 0, outcome);
+        cross_with_outcome(&mut breaker, 0, outcome);
         assert!(!breaker.is_open());
     }
-    cross(&mut breaker, 0, CrossingOutcome::Failed);
+    cross_with_outcome(&mut breaker, 0, CrossingOutcome::Failed);
     assert!(breaker.is_open() && !breaker.try_cross(999));
     assert!(breaker.try_cross(1_000), "a probe request");
     assert!(!breaker.try_cross(1_000), "one probe request at a time");
@@ -53,15 +53,15 @@
 }
 
 #[test]
-fn rejections_exhaust_the_budget_and_successes_refill_it() {
+fn rejections_exhaust_the_tokens_and_successes_refill_them() {
     let mut breaker = CircuitBreaker::new(LIMITS);
     for _ in 0..10 {
-        cross(&mut breaker, 0, CrossingOutcome::Rejected);
+        cross_with_outcome(&mut breaker, 0, CrossingOutcome::Rejected);
     }
     assert!(!breaker.is_open() && !breaker.try_cross(0));
     let mut breaker = CircuitBreaker::new(LIMITS);
     for _ in 0..1_000 {
-        cross(&mut breaker, 0, CrossingOutcome::Served);
+        cross_with_outcome(&mut breaker, 0, CrossingOutcome::Served);
     }
     assert!((breaker.tokens - 10.0).abs() < 1e-9);
 }
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn near_fleet_gets_a_growing_fraction_after_an_outage() {
+fn near_fleet_serves_a_growing_fraction_after_an_outage() {
     let mut ramp = RecoveryRamp::new(0.13, 24_000);
     assert_eq!(ramp.fraction(5), 1.0);
     ramp.fail();
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -1,16 +1,17 @@
-//! Claims: they ensure that a write with an idempotency key does not run at both sites, whichever nodes its retries reach.
+//! Claims ensure that a write with an idempotency key does not run at both sites, regardless of which nodes its
+//! retries reach.
 //!
-//! One node of the far site is the arbiter of a key ([`select_arbiter`]). It runs the writes of that key that cross the
-//! link and remembers them. A near node that gets a retry of a write it does not know claims the key from the arbiter
-//! before it does anything.
+//! One node of the far site is the arbiter of a key ([`select_arbiter`]). It runs the writes of that key that cross
+//! the link and records them in a ledger. A near node that receives a retry of a write it has no record of claims the
+//! key from the arbiter before it sends the write anywhere.
 //!
-//! For writes that clients retry no longer than [`ArbiterLimits::max_retry_duration`], it is guaranteed that
+//! Guarantees, for writes that clients retry no longer than [`ArbiterLimits::max_retry_duration`]:
 //!
-//! - after [`Claim::Granted`], nothing of the key runs through the arbiter while a message of the write can be under way;
-//! - after a run that may have begun, no claim of the key is granted.
+//! - After [`Claim::Granted`], the arbiter runs no write with the key while a message of the write can be in transit.
+//! - After a write may have begun to run through the arbiter, no claim of its key is granted.
 //!
-//! An [`Arbiter`] holds the ledger of the writes that crossed and at most [`ArbiterLimits::max_reservations`] keys
-//! reserved for the near site.
+//! An [`Arbiter`] holds the ledger of the writes that crossed the link, and at most
+//! [`ArbiterLimits::max_reservations`] keys that are reserved for the near site.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -26,61 +27,63 @@
 pub struct ArbiterLimits {
     /// How long a client retries a write, from its first attempt, in microseconds.
     pub max_retry_duration: Micros,
-    /// How long a message may be under way before it is rejected: the time to live of a lease, in microseconds.
+    /// How long a message may be in transit before it is rejected: the time to live of a lease, in microseconds.
     pub lease_ttl: Micros,
     /// Maximum number of keys reserved for the near site at once.
     pub max_reservations: usize,
-    /// The limits of the ledger of writes that crossed.
+    /// Limits of the ledger of the writes that crossed the link.
     pub ledger: LedgerLimits,
 }
 
 /// The response to a near node that claims the key of a retried write.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Claim {
-    /// Nothing of the write has run at the far site, nor will: it may run at the near site.
+    /// The write has not run at the far site and will not run there: it may run at the near site.
     Granted,
     /// The write has been served at the far site, with this receipt.
     Served(Bytes),
-    /// The write may have run at the far site and must not run at the near one. It may cross again, since the far site
-    /// deduplicates it, or it fails.
+    /// The write may have run at the far site and must not run at the near one. It may cross again, since the far
+    /// site deduplicates it, or it fails.
     MayHaveRun,
-    /// The arbiter cannot know: it started, or the set of arbiters changed, too recently, or it has no capacity.
+    /// The arbiter cannot decide: it started too recently, the set of arbiters changed too recently, or it has no
+    /// capacity for another reservation.
     Undecided,
 }
 
-/// What an arbiter does with a write that has crossed.
+/// The decision of an arbiter on a write that has crossed the link.
 #[derive(Clone, Debug, PartialEq)]
-pub enum RunVerdict {
-    /// Run it.
+pub enum WriteVerdict {
+    /// Run the write.
     Run,
-    /// Run it again: if it has run, the cache servers deduplicate it.
+    /// Run the write again: if it has run, the cache servers deduplicate it.
     Repeat {
-        /// When it must have been sent, on the clock of the arbiter.
+        /// Time before which it must be sent to the cache servers, on the arbiter's clock.
         until: Micros,
     },
-    /// It has been served, with this receipt.
+    /// The write has been served, with this receipt.
     Served(Bytes),
-    /// It may have run, and the cache servers may no longer deduplicate it.
+    /// The write may have run, and the cache servers may no longer deduplicate it.
     Unknown,
-    /// It is reserved for the near site, in flight here, or the ledger is full: nothing of this attempt runs.
+    /// The key is reserved for the near site, a request of the key is in flight here, or the ledger is full: this
+    /// attempt does not run.
     Reject,
 }
 
-/// An arbiter.
+/// The arbiter of some keys. The module documentation describes its guarantees and bounds.
 #[derive(Debug)]
 pub struct Arbiter {
     limits: ArbiterLimits,
-    /// Since when it has seen all writes of its keys that cross.
+    /// Time since which it has received every write of its keys that crosses the link.
     responsible_since: Micros,
     ledger: IdempotencyLedger,
-    /// Until when each key is reserved for the near site.
+    /// The keys that are reserved for the near site, each with the end of its reservation.
     reservations: HashMap<IdempotencyKey, Micros>,
     /// Ends of reservations in chronological order; a key that was claimed several times appears as often.
     reservation_ends: VecDeque<(Micros, IdempotencyKey)>,
 }
 
 impl Arbiter {
-    /// An arbiter that starts now.
+    /// Creates an arbiter that starts now, with an empty ledger and without reservations.
     pub fn new(now: Micros, limits: ArbiterLimits) -> Arbiter {
         Arbiter {
             limits,
@@ -91,12 +94,12 @@
         }
     }
 
-    /// The set of arbiters has changed: some keys had another arbiter until now.
+    /// Records that the set of arbiters has changed: some of its keys had another arbiter until now.
     pub fn arbiters_changed(&mut self, now: Micros) {
         self.responsible_since = now;
     }
 
-    /// The longest time between a write's first attempt and the delivery of its last message.
+    /// Returns the longest time between a write's first attempt and the delivery of its last message.
     fn max_write_duration(&self) -> Micros {
         self.limits.max_retry_duration + self.limits.lease_ttl
     }
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Claims a key for a near node that has a retry of a write it does not know.
+    /// Claims a key for a near node that has received a retry of a write it has no record of.
     pub fn claim(&mut self, now: Micros, key: &IdempotencyKey) -> Claim {
         self.remove_expired(now);
         match self.ledger.recorded(key) {
@@ -127,7 +130,7 @@
             Some(RecordedWrite::MayHaveRun) => return Claim::MayHaveRun,
             None => {}
         }
-        // Several near nodes may hold the claim of one key: the write runs at their site.
+        // Several near nodes may hold claims of the same key, since the write runs at the near site for all of them.
         if !self.reservations.contains_key(key) && !self.can_reserve(now) {
             return Claim::Undecided;
         }
@@ -135,7 +138,8 @@
         Claim::Granted
     }
 
-    /// Whether the arbiter knows of all writes that may be under way, and has capacity for another reservation.
+    /// Returns whether the arbiter has received all crossing writes of its keys for long enough that no message of an
+    /// earlier one can be in transit, and whether it has capacity for another reservation.
     fn can_reserve(&self, now: Micros) -> bool {
         now - self.responsible_since >= self.max_write_duration()
             && self.reservations.len() < self.limits.max_reservations
@@ -152,37 +156,38 @@
         }
     }
 
-    /// Decides on a write that has crossed with a valid lease. After [`RunVerdict::Run`] and [`RunVerdict::Repeat`] its
-    /// sends and its end are to be recorded in [`Arbiter::ledger`].
-    pub fn run(&mut self, now: Micros, key: &IdempotencyKey) -> RunVerdict {
+    /// Decides whether a write that has crossed the link with a valid lease may run. After [`WriteVerdict::Run`] and
+    /// [`WriteVerdict::Repeat`] the caller must record its sends and its end in [`Arbiter::ledger`].
+    pub fn begin_write(&mut self, now: Micros, key: &IdempotencyKey) -> WriteVerdict {
         self.remove_expired(now);
         if self.reservations.contains_key(key) {
-            return RunVerdict::Reject;
+            return WriteVerdict::Reject;
         }
         match self.ledger.begin(now, key, false) {
-            Verdict::New => RunVerdict::Run,
-            Verdict::Repeat { until } => RunVerdict::Repeat { until },
-            Verdict::Served(receipt) => RunVerdict::Served(receipt),
-            Verdict::Unknown => RunVerdict::Unknown,
-            Verdict::InFlight | Verdict::Full => RunVerdict::Reject,
+            Verdict::New => WriteVerdict::Run,
+            Verdict::Repeat { until } => WriteVerdict::Repeat { until },
+            Verdict::Served(receipt) => WriteVerdict::Served(receipt),
+            Verdict::Unknown => WriteVerdict::Unknown,
+            Verdict::InFlight | Verdict::Full => WriteVerdict::Reject,
         }
     }
 
-    /// The ledger of the writes that crossed.
+    /// Returns the ledger of the writes that crossed the link.
     pub fn ledger(&mut self) -> &mut IdempotencyLedger {
         &mut self.ledger
     }
 }
 
-/// The arbiter of a key among these nodes, by rendezvous hashing: near nodes with the same set select the same arbiter,
-/// and a node that joins or leaves changes the arbiter of its own keys only. `None` if there are no nodes.
+/// Selects the arbiter of a key among these nodes by rendezvous hashing: near nodes with the same set select the same
+/// arbiter, and a node that joins or leaves changes the arbiter of its own keys only. `None` if there are no nodes.
 pub fn select_arbiter<'a>(key: &str, nodes: impl IntoIterator<Item = &'a str>) -> Option<&'a str> {
     nodes
         .into_iter()
         .max_by_key(|node| (rendezvous_weight(node, key), *node))
 }
 
-/// A hash of node and key, mixed: similar names must not have similar weights.
+/// Returns the weight of a node for a key. The hash of both is mixed, so that similar names do not have similar
+/// weights.
 fn rendezvous_weight(node: &str, key: &str) -> u64 {
     let bytes = node.bytes().chain([0]).chain(key.bytes());
     mix(fnv1a(bytes))
--- a/crates/gateway/src/claims_tests.rs
+++ b/crates/gateway/src/claims_tests.rs
@@ -31,9 +31,9 @@
     let mut arbiter = established_arbiter();
     assert_eq!(arbiter.claim(0, &key(1)), Claim::Granted);
     assert_eq!(
-        arbiter.run(RETRY_DURATION + LEASE_TTL - 1, &key(1)),
-        RunVerdict::Reject,
-        "its first attempt was delivered late"
+        arbiter.begin_write(RETRY_DURATION + LEASE_TTL - 1, &key(1)),
+        WriteVerdict::Reject,
+        "the first attempt was delivered late"
     );
     assert_eq!(
         arbiter.claim(100, &key(1)),
@@ -41,30 +41,30 @@
         "another node's claim"
     );
     assert_eq!(
-        arbiter.run(100 + RETRY_DURATION + LEASE_TTL, &key(1)),
-        RunVerdict::Run
+        arbiter.begin_write(100 + RETRY_DURATION + LEASE_TTL, &key(1)),
+        WriteVerdict::Run
     );
 }
 
 #[test]
 fn claim_of_a_write_that_may_have_run_is_not_granted() {
     let mut arbiter = established_arbiter();
-    assert_eq!(arbiter.run(0, &key(1)), RunVerdict::Run);
+    assert_eq!(arbiter.begin_write(0, &key(1)), WriteVerdict::Run);
     assert_eq!(
         arbiter.claim(1, &key(1)),
         Claim::MayHaveRun,
-        "it is in flight"
+        "the write is in flight"
     );
     assert!(arbiter.ledger().send(2, &key(1)));
     arbiter.ledger().finish(50, &key(1), None);
     assert_eq!(
         arbiter.claim(60, &key(1)),
         Claim::MayHaveRun,
-        "it may have run"
+        "the write may have run"
     );
     assert_eq!(
-        arbiter.run(70, &key(1)),
-        RunVerdict::Repeat { until: 9_002 }
+        arbiter.begin_write(70, &key(1)),
+        WriteVerdict::Repeat { until: 9_002 }
     );
     arbiter
         .ledger()
@@ -73,8 +73,8 @@
         arbiter.claim(90, &key(1)),
         Claim::Served(Bytes::from_static(b"receipt"))
     );
-    // Rejected by the cache server: nothing has run.
-    assert_eq!(arbiter.run(100, &key(2)), RunVerdict::Run);
+    // The cache server rejected the write: it has not run.
+    assert_eq!(arbiter.begin_write(100, &key(2)), WriteVerdict::Run);
     assert!(arbiter.ledger().send(101, &key(2)));
     arbiter.ledger().never_ran(&key(2), false);
     arbiter.ledger().finish(102, &key(2), None);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn arbiter_without_knowledge_or_capacity_is_undecided() {
+fn arbiter_that_started_recently_or_has_no_capacity_is_undecided() {
     let mut arbiter = Arbiter::new(0, LIMITS);
     assert_eq!(
         arbiter.claim(RETRY_DURATION + LEASE_TTL - 1, &key(1)),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn near_nodes_select_the_same_arbiter_and_a_leaving_node_moves_its_keys_only() {
+fn near_nodes_select_the_same_arbiter_and_removing_a_node_moves_its_keys_only() {
     let nodes = ["n0", "n1", "n2", "n3", "n4"];
     let select =
         |n: usize, nodes: &[&'static str]| select_arbiter(&format!("k{n}"), nodes.iter().copied());
@@ -130,7 +130,7 @@
 struct Message {
     write: usize,
     arrives_at: Micros,
-    lease_over_at: Micros,
+    lease_expires_at: Micros,
 }
 
 impl Message {
@@ -138,7 +138,7 @@
         Message {
             write,
             arrives_at: now + delay,
-            lease_over_at: now + LEASE_TTL,
+            lease_expires_at: now + LEASE_TTL,
         }
     }
 }
@@ -152,12 +152,12 @@
     *in_transit = rest;
     let mut ran = Vec::new();
     for message in arrived {
-        if message.arrives_at >= message.lease_over_at {
+        if message.arrives_at >= message.lease_expires_at {
             continue;
         }
         let key = key(message.write);
-        let verdict = arbiter.run(message.arrives_at.max(now), &key);
-        if matches!(verdict, RunVerdict::Run | RunVerdict::Repeat { .. }) {
+        let verdict = arbiter.begin_write(message.arrives_at.max(now), &key);
+        if matches!(verdict, WriteVerdict::Run | WriteVerdict::Repeat { .. }) {
             let _ = arbiter.ledger().send(now, &key);
             ran.push(message.write);
             arbiter.ledger().finish(now, &key, None);
@@ -167,30 +167,31 @@
 }
 
 proptest! {
-    /// Clients send writes to any near node: a first attempt runs at the near site or crosses, a marked retry claims the
-    /// key. Messages are late and overtake each other, and the arbiter restarts. No write runs at both sites.
+    /// Clients send writes to any near node: a first attempt runs at the near site or crosses the link, and a retry,
+    /// which is marked as one, claims the key. Messages are late and overtake each other, and the arbiter restarts.
+    /// No write runs at both sites.
     #[test]
     fn no_write_runs_at_both_sites(
         steps in prop::collection::vec((0usize..6, 0usize..4, 0i64..400, 0i64..900, any::<bool>()), 1..150),
     ) {
         let mut arbiter = established_arbiter();
         let mut now: Micros = 0;
-        // By write: when its first attempt was, and at which sites it may have run.
+        // The time of each write's first attempt, and the writes that may have run at each site.
         let mut first_attempts: BTreeMap<usize, Micros> = BTreeMap::new();
         let (mut ran_near, mut ran_far) = (BTreeSet::new(), BTreeSet::new());
         let mut in_transit: Vec<Message> = Vec::new();
-        // Each of four clients has one write at a time; this counts the writes of each.
+        // Each of the four clients has one write at a time; these are the numbers of writes that each has ended.
         let mut generations = [0usize; 4];
         for (action, client, pause, delay, near) in steps {
             now += pause;
             ran_far.extend(deliver(&mut arbiter, &mut in_transit, now));
             let write = generations[client] * 4 + client;
             match (action, first_attempts.get(&write).copied()) {
-                // The client retries the write no longer.
+                // The client no longer retries the write.
                 (_, Some(first_attempt)) if now - first_attempt >= RETRY_DURATION => {
                     generations[client] += 1;
                 }
-                // A first attempt has no mark: the near node runs it or forwards it.
+                // A first attempt is not marked as a retry: the near node runs it or forwards it.
                 (0..=3, None) => {
                     first_attempts.insert(write, now);
                     if near {
@@ -199,7 +200,7 @@
                         in_transit.push(Message::new(write, now, delay));
                     }
                 }
-                // A marked retry at a node that does not know the key.
+                // A marked retry at a node that has no record of the key.
                 (0..=4, Some(_)) => match arbiter.claim(now, &key(write)) {
                     Claim::Granted => {
                         ran_near.insert(write);
@@ -215,7 +216,7 @@
                 _ => {}
             }
             let both: Vec<_> = ran_near.intersection(&ran_far).collect();
-            prop_assert!(both.is_empty(), "at both sites: {both:?}");
+            prop_assert!(both.is_empty(), "writes that ran at both sites: {both:?}");
         }
     }
 }
--- a/crates/gateway/src/deadline.rs
+++ b/crates/gateway/src/deadline.rs
@@ -1,8 +1,8 @@
-//! The time that a request has left behind the link.
+//! How much of a request's remaining time the far site may use.
 //!
-//! The sites have no common clock. A request therefore crosses with a duration, which the far site counts from the
-//! arrival; [`LinkDelay`] estimates what the link itself takes from the last [`MAX_ROUND_TRIPS`] heartbeats, which are
-//! its only state. The estimate errs to the long side.
+//! The sites have no common clock. A request that crosses the link therefore carries a duration, which the far site
+//! counts from the request's arrival. [`LinkDelay`] estimates the delay of the link itself from the last
+//! [`MAX_ROUND_TRIPS`] heartbeats, which are its only state. The estimate tends to be too long rather than too short.
 
 use std::collections::VecDeque;
 
@@ -26,23 +26,24 @@
         }
     }
 
-    /// The delay of one direction, in microseconds: half of the last round trip, at least half of the shortest recent
-    /// one. `None` before the first heartbeat.
-    pub fn one_way(&self) -> Option<Micros> {
+    /// Returns the delay of one direction, in microseconds: half of the last round trip, at least half of the
+    /// shortest recent one, plus 1. `None` before the first heartbeat.
+    pub fn one_way_delay(&self) -> Option<Micros> {
         let last = self.round_trips.back()?;
         let shortest = self.round_trips.iter().min()?;
         Some((*last).max(*shortest) / 2 + 1)
     }
 
-    /// How much of a request's `remaining` time the far site may use, so that the response is back `margin` before the
-    /// deadline. `None` if that is less than `minimum`, or the delay of the link is unknown. All in microseconds.
+    /// Returns how much of a request's `remaining` time the far site may use, so that the response arrives at the
+    /// near site `margin` before the deadline. `None` if that is less than `minimum`, or the delay of the link is
+    /// unknown. All times are in microseconds.
     pub fn far_site_budget(
         &self,
         remaining: Micros,
         margin: Micros,
         minimum: Micros,
     ) -> Option<Micros> {
-        let budget = remaining - 2 * self.one_way()? - margin;
+        let budget = remaining - 2 * self.one_way_delay()? - margin;
         (budget >= minimum.max(1)).then_some(budget)
     }
 }
--- a/crates/gateway/src/leases.rs
+++ b/crates/gateway/src/leases.rs
@@ -1,9 +1,9 @@
-//! Leases: numbers issued by a receiver, which enable it to reject messages that are delivered too late.
+//! Leases are numbers issued by a receiver, which enable it to reject messages that are delivered too late.
 //!
-//! It is guaranteed that a message with a lease is admitted only within the time to live of the lease, counted on the
-//! receiver's clock from the issue, and only by the incarnation of the receiver that issued it. From its own clock alone,
-//! a sender therefore knows when nothing that it sent with a lease can begin any more. The clocks need not show the same
-//! time; their rates must not differ by more than [`MAX_CLOCK_DRIFT_PPM`].
+//! Guarantee: a message with a lease is admitted only within the time to live of the lease, counted on the receiver's
+//! clock from the issue, and only by the incarnation of the receiver that issued it. A sender can therefore compute
+//! from its own clock alone when no message that it sent with a lease can be admitted any more. The clocks need not
+//! show the same time; their rates must not differ by more than [`MAX_CLOCK_DRIFT_PPM`].
 //!
 //! The receiver's [`LeaseIssuer`] holds at most [`MAX_ISSUED_LEASES`] leases, the sender's [`LeaseHolder`] one.
 
@@ -12,12 +12,12 @@
 use sloewick_decision::api::Micros;
 use thiserror::Error;
 
-/// Maximum difference between the rates of two clocks, in parts per million; quartz keeps within 100.
+/// Maximum difference between the rates of two clocks, in parts per million; that of quartz clocks is within 100.
 pub const MAX_CLOCK_DRIFT_PPM: Micros = 500;
 /// Maximum number of unexpired leases of an issuer.
 pub const MAX_ISSUED_LEASES: usize = 1024;
 
-/// A lease.
+/// A lease, which a sender attaches to its messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
     /// The incarnation of the receiver that issued it.
@@ -26,7 +26,7 @@
     pub number: u64,
 }
 
-/// Why a message is not admitted. Nothing of it has run.
+/// Why a message is not admitted. The receiver has executed no part of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LeaseError {
     /// Another incarnation of the receiver issued the lease.
@@ -47,7 +47,7 @@
     issued_at: Micros,
 }
 
-/// The receiver's side.
+/// The receiver's side: issues leases and checks the leases of messages.
 #[derive(Debug)]
 pub struct LeaseIssuer {
     epoch: u64,
@@ -58,8 +58,8 @@
 }
 
 impl LeaseIssuer {
-    /// An issuer without leases. `epoch` must differ from those of all other incarnations of any receiver; `ttl` is the
-    /// time to live of a lease, in microseconds.
+    /// Creates an issuer without leases. `epoch` must differ from those of all other incarnations of any receiver;
+    /// `ttl` is the time to live of a lease, in microseconds.
     pub fn new(epoch: u64, ttl: Micros) -> LeaseIssuer {
         LeaseIssuer {
             epoch,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Issues a lease; `None` if [`MAX_ISSUED_LEASES`] are unexpired.
+    /// Issues a lease. `None` if [`MAX_ISSUED_LEASES`] leases are unexpired.
     pub fn issue(&mut self, now: Micros) -> Option<Lease> {
         self.remove_expired(now);
         if self.issued.len() >= MAX_ISSUED_LEASES {
@@ -97,10 +97,10 @@
         })
     }
 
-    /// Checks whether a message with this lease may begin now.
+    /// Checks whether a message with this lease may be executed now.
     ///
     /// # Errors
-    /// The lease is of another incarnation, expired or was never issued.
+    /// [`LeaseError`] if another incarnation issued the lease, it has expired, or it was never issued.
     pub fn admit(&mut self, now: Micros, lease: Lease) -> Result<(), LeaseError> {
         if lease.epoch != self.epoch {
             return Err(LeaseError::OtherIncarnation);
@@ -109,7 +109,7 @@
             return Err(LeaseError::NeverIssued);
         }
         self.remove_expired(now);
-        // Leases are issued in the order of their numbers: those before the first one have been removed.
+        // Leases are issued in the order of their numbers: those with smaller numbers have expired and been removed.
         match self.issued.front() {
             Some(oldest) if lease.number >= oldest.number => Ok(()),
             _ => Err(LeaseError::Expired),
@@ -117,7 +117,7 @@
     }
 }
 
-/// A lease as its sender received it.
+/// A lease and the time at which the sender of messages received it.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedLease {
     lease: Lease,
@@ -129,11 +129,11 @@
 pub struct CurrentLease {
     /// The lease.
     pub lease: Lease,
-    /// When nothing that is sent with the lease can begin any more, on the sender's clock.
-    pub over_at: Micros,
+    /// Time from which no message sent with the lease can be admitted any more, on the sender's clock.
+    pub expires_at: Micros,
 }
 
-/// The sender's side.
+/// The sender's side: holds the newest lease that it has received.
 #[derive(Debug)]
 pub struct LeaseHolder {
     ttl: Micros,
@@ -141,7 +141,7 @@
 }
 
 impl LeaseHolder {
-    /// A holder without a lease. `ttl` is the time to live of the receiver's leases, in microseconds.
+    /// Creates a holder without a lease. `ttl` is the time to live of the receiver's leases, in microseconds.
     pub fn new(ttl: Micros) -> LeaseHolder {
         LeaseHolder { ttl, newest: None }
     }
@@ -159,13 +159,13 @@
         }
     }
 
-    /// Drops the lease: the link broke, or the receiver restarted.
+    /// Drops the lease, because the link broke or the receiver restarted.
     pub fn invalidate(&mut self) {
         self.newest = None;
     }
 
-    /// The lease to send a message with, if one that arrives after `one_way_delay` (in microseconds) would still be
-    /// admitted.
+    /// Returns the lease to send a message with. `None` if there is none, or a message that arrives after
+    /// `one_way_delay` (in microseconds) would no longer be admitted.
     pub fn current(&self, now: Micros, one_way_delay: Micros) -> Option<CurrentLease> {
         let newest = self.newest?;
         if now + one_way_delay >= newest.received_at + self.ttl {
@@ -173,14 +173,15 @@
         }
         Some(CurrentLease {
             lease: newest.lease,
-            over_at: over_at(newest.received_at, self.ttl),
+            expires_at: expires_at(newest.received_at, self.ttl),
         })
     }
 }
 
-/// When nothing sent with a lease can begin any more, on the sender's clock: the lease was issued before it was received,
-/// and the receiver's clock may be the slower one.
-fn over_at(received_at: Micros, ttl: Micros) -> Micros {
+/// Returns the time from which no message sent with a lease can be admitted any more, on the sender's clock. It is
+/// counted from the receipt of the lease, since the lease was issued before that, and includes the clock drift, since
+/// the receiver's clock may be the slower one.
+fn expires_at(received_at: Micros, ttl: Micros) -> Micros {
     received_at + ttl + ttl * MAX_CLOCK_DRIFT_PPM / 1_000_000 + 1
 }
 
--- a/crates/gateway/src/leases_tests.rs
+++ b/crates/gateway/src/leases_tests.rs
@@ -4,7 +4,7 @@
 const TTL: Micros = 500_000;
 
 #[test]
-fn lease_is_admitted_within_its_ttl_by_its_own_incarnation_only() {
+fn lease_is_admitted_within_its_ttl_and_only_by_the_incarnation_that_issued_it() {
     let mut receiver = LeaseIssuer::new(7, TTL);
     let lease = receiver.issue(1_000).unwrap();
     assert_eq!(receiver.admit(1_000 + TTL - 1, lease), Ok(()));
@@ -51,16 +51,19 @@
             number: 0,
         },
     );
-    assert!(sender.current(TTL, 0).is_some(), "another incarnation");
+    assert!(
+        sender.current(TTL, 0).is_some(),
+        "the lease of another incarnation replaces the expired one"
+    );
     sender.invalidate();
     assert_eq!(sender.current(TTL, 0), None);
 }
 
 proptest! {
-    /// Real time drives two clocks of different rates; messages take any time and overtake each other. What is admitted
-    /// begins before the lease is over on the sender's clock.
+    /// Two clocks run at different rates of real time; messages take any time and overtake each other. Each message
+    /// that is admitted is admitted before its lease expires on the sender's clock.
     #[test]
-    fn no_message_begins_after_its_lease_is_over_for_the_sender(
+    fn no_message_is_admitted_after_its_lease_has_expired_on_the_senders_clock(
         sender_offset in -1_000_000_000i64..1_000_000_000,
         sender_ppm in -250i64..=250,
         receiver_ppm in -250i64..=250,
@@ -92,12 +95,12 @@
             }
         }
         in_transit.sort_by_key(|(arrives_at, _)| *arrives_at);
-        // The receiver's clock does not go back behind its last issue.
+        // The receiver's clock does not go back, so messages that arrive before its last issue are not checked.
         for (arrives_at, current) in in_transit.into_iter().filter(|(at, _)| *at >= last_issue) {
             if receiver.admit(receiver_clock(arrives_at), current.lease).is_ok() {
-                let begins_at = sender_clock(arrives_at);
-                let over_at = current.over_at;
-                prop_assert!(begins_at < over_at, "began at {begins_at} of the sender, over at {over_at}");
+                let admitted_at = sender_clock(arrives_at);
+                let expires_at = current.expires_at;
+                prop_assert!(admitted_at < expires_at, "admitted at {admitted_at}, lease expires at {expires_at}");
             }
         }
     }
