--- a/crates/snapshot/src/file.rs
+++ b/crates/snapshot/src/file.rs
@@ -1,16 +1,17 @@
 //! The file that holds a snapshot. It is replaced by a rename, so that a reader finds either the previous snapshot
-//! or the next one, never a partial one. The only state is the file system's.
+//! or the next one, never a partial one. All state is in the file system.
 
 use std::fs::{self, DirEntry, File};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Temporary files of other processes are removed at this age: a process that still writes one is faster.
+/// Age above which temporary files of other processes are removed. A process that is still writing one takes less
+/// time.
 const MAX_TEMPORARY_FILE_AGE: Duration = Duration::from_secs(60);
-/// Entries of the directory that are examined for temporary files.
+/// Maximum number of directory entries that are examined for temporary files.
 const MAX_ENTRIES_EXAMINED: usize = 1024;
-/// The end of a temporary file's name.
+/// Suffix of the names of temporary files.
 const TEMPORARY_SUFFIX: &str = ".half";
 
 /// A file that holds one snapshot of bounded size.
@@ -22,7 +23,7 @@
 }
 
 impl SnapshotFile {
-    /// The file `name` in `directory`, of up to `max_len` bytes. Nothing is read or created.
+    /// Describes the file `name` in `directory`, of up to `max_len` bytes. Reads and creates nothing.
     pub fn new(directory: &Path, name: &'static str, max_len: usize) -> SnapshotFile {
         SnapshotFile {
             directory: directory.to_path_buf(),
@@ -31,15 +32,16 @@
         }
     }
 
-    /// The file's path.
+    /// Returns the file's path.
     pub fn path(&self) -> PathBuf {
         self.directory.join(self.name)
     }
 
-    /// The file's bytes, or `None` if there is no such file.
+    /// Reads the file. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// Those of the operating system; [`ErrorKind::InvalidData`] if it is longer than allowed or no regular file.
+    /// Those of the operating system; [`ErrorKind::InvalidData`] if the file is longer than allowed or not a
+    /// regular file.
     pub fn read(&self) -> io::Result<Option<Vec<u8>>> {
         let metadata = match fs::symlink_metadata(self.path()) {
             Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
@@ -47,9 +49,9 @@
         };
         let invalid = |reason: String| io::Error::new(ErrorKind::InvalidData, reason);
         if !metadata.is_file() {
-            return Err(invalid("is no file".into()));
+            return Err(invalid("is not a regular file".into()));
         }
-        // The file may grow while it is read, hence the bound on what is read as well.
+        // The file may grow while it is read, so the number of bytes read is bounded as well.
         let mut bytes = Vec::with_capacity((metadata.len() as usize).min(self.max_len));
         File::open(self.path())?
             .take(self.max_len as u64 + 1)
@@ -60,13 +62,13 @@
         Ok(Some(bytes))
     }
 
-    /// Replaces the snapshot. If that fails, the previous one stays.
+    /// Replaces the snapshot. If that fails, the file still holds the previous one.
     ///
     /// # Errors
     /// Those of the operating system; [`ErrorKind::InvalidInput`] if `bytes` is longer than allowed.
     pub fn write(&self, bytes: &[u8]) -> io::Result<()> {
         if bytes.len() > self.max_len {
-            let reason = format!("{} bytes, {} are allowed", bytes.len(), self.max_len);
+            let reason = format!("{} bytes exceed the limit of {}", bytes.len(), self.max_len);
             return Err(io::Error::new(ErrorKind::InvalidInput, reason));
         }
         // Two processes of one node write at the same time during a hot restart: each has its own temporary file.
@@ -82,7 +84,8 @@
         written
     }
 
-    /// Removes the temporary files that killed processes have left. Errors are ignored: the files do no harm.
+    /// Removes the temporary files that killed processes have left. Errors are ignored, since the files are
+    /// harmless.
     pub fn remove_temporary_files(&self) {
         let Ok(entries) = fs::read_dir(&self.directory) else {
             return;
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,11 +1,11 @@
-//! The bytes of a snapshot. It holds no state and performs no I/O. All numbers are little-endian:
+//! The encoding of a snapshot. This module holds no state and performs no I/O. All numbers are little-endian:
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 4 | `SLWS` |
 //! | 2 | version of the payload's format |
 //! | 16 | owner: the first bytes of the SHA-256 of a text that names the node |
-//! | 8 | when it was taken, in microseconds of the clock that its owner's processes share |
+//! | 8 | time at which it was taken, in microseconds of the clock that its owner's processes share |
 //! | 4 | length of the payload |
 //! | n | payload |
 //! | 32 | SHA-256 (FIPS 180-4) of all preceding bytes |
@@ -14,71 +14,71 @@
 use thiserror::Error;
 
 const MAGIC: &[u8; 4] = b"SLWS";
-/// Bytes of the field that holds the version.
+/// Length of the field that holds the version, in bytes.
 const VERSION_LEN: usize = 2;
-/// Bytes of the field that identifies the owner.
+/// Length of the field that identifies the owner, in bytes.
 const OWNER_LEN: usize = 16;
-/// Bytes of the field that holds the time.
+/// Length of the field that holds the time, in bytes.
 const TIME_LEN: usize = 8;
-/// Bytes of the field that holds the payload's length.
+/// Length of the field that holds the payload's length, in bytes.
 const LENGTH_LEN: usize = 4;
-/// Bytes before the payload.
+/// Length of all fields before the payload, in bytes.
 const HEADER_LEN: usize = MAGIC.len() + VERSION_LEN + OWNER_LEN + TIME_LEN + LENGTH_LEN;
-/// Bytes of the checksum behind the payload.
+/// Length of the checksum after the payload, in bytes.
 const CHECKSUM_LEN: usize = 32;
-/// Bytes of a snapshot in addition to its payload.
+/// Length of a snapshot without its payload, in bytes.
 pub const OVERHEAD: usize = HEADER_LEN + CHECKSUM_LEN;
 /// How far ahead of the clock a snapshot may be, in microseconds. Clocks of one machine that are read one after the
-/// other differ by less; a snapshot that is further ahead was not taken under this clock.
-const MAX_AHEAD: i64 = 1_000_000;
+/// other differ by less; a snapshot that is further ahead was taken with another clock.
+const MAX_TIME_AHEAD: i64 = 1_000_000;
 
-/// What a snapshot has to fulfil to be accepted.
+/// The requirements that a snapshot has to fulfil to be accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct Requirements<'a> {
     /// The text that names the node.
     pub owner: &'a str,
     /// Version of the payload's format.
     pub version: u16,
-    /// The greatest age that is accepted, in microseconds.
+    /// Maximum age, in microseconds.
     pub max_age: i64,
 }
 
-/// A snapshot that was accepted.
+/// An accepted snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Snapshot<'a> {
     /// The payload, as it was given to [`encode`].
     pub payload: &'a [u8],
-    /// Its age in microseconds, never negative.
+    /// The time since the snapshot was taken, in microseconds; never negative.
     pub age: i64,
 }
 
 /// Why a snapshot is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// It does not begin with the snapshots' magic bytes.
+    /// It does not begin with the magic bytes `SLWS`.
     #[error("is no snapshot")]
     NotASnapshot,
-    /// Its payload's format is of this version.
+    /// The format of its payload has this version, which is not the required one.
     #[error("is of version {0}")]
     VersionMismatch(u16),
     /// Another node wrote it.
     #[error("is another node's")]
     OwnerMismatch,
-    /// It is shorter or longer than its header announces.
+    /// It is shorter or longer than its header specifies.
     #[error("is torn")]
     LengthMismatch,
     /// Its checksum does not match its bytes.
     #[error("is damaged: its checksum does not fit")]
     ChecksumMismatch,
-    /// It is too old; its age in microseconds.
+    /// It is older than allowed: it has this age, in microseconds.
     #[error("is too old: {} s", .0 / 1_000_000)]
     TooOld(i64),
-    /// It was taken this many microseconds ahead of the clock.
+    /// The time at which it was taken is this many microseconds ahead of the clock.
     #[error("is {} s ahead of the clock", .0 / 1_000_000)]
     FromFuture(i64),
 }
 
-/// The payload is longer than the header's length field can express (4 GiB).
+/// The payload is too long for the header's length field, which is limited to 4 GiB.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a payload of {0} bytes is too long for a snapshot")]
 pub struct PayloadTooLong(pub usize);
@@ -89,14 +89,15 @@
     digest
 }
 
-/// The bytes of a snapshot with this payload, taken at `taken` (microseconds of the clock that the owner's processes share).
+/// Encodes a snapshot with this payload, taken at `taken_at` (in microseconds of the clock that the owner's
+/// processes share).
 ///
 /// # Errors
 /// [`PayloadTooLong`] if the payload exceeds 4 GiB.
 pub fn encode(
     owner: &str,
     version: u16,
-    taken: i64,
+    taken_at: i64,
     payload: &[u8],
 ) -> Result<Vec<u8>, PayloadTooLong> {
     let length = u32::try_from(payload.len()).map_err(|_| PayloadTooLong(payload.len()))?;
@@ -104,7 +105,7 @@
     out.extend_from_slice(MAGIC);
     out.extend_from_slice(&version.to_le_bytes());
     out.extend_from_slice(&owner_digest(owner));
-    out.extend_from_slice(&taken.to_le_bytes());
+    out.extend_from_slice(&taken_at.to_le_bytes());
     out.extend_from_slice(&length.to_le_bytes());
     out.extend_from_slice(payload);
     let checksum = Sha256::digest(&out);
@@ -112,15 +113,15 @@
     Ok(out)
 }
 
-/// An unsigned number from up to eight little-endian bytes.
-fn little_endian(bytes: &[u8]) -> u64 {
+/// Decodes an unsigned number of up to eight little-endian bytes.
+fn decode_little_endian(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .rev()
         .fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
 
-/// Checks a snapshot at the time `now` (microseconds of the same clock) and returns its payload and age.
+/// Checks a snapshot at the time `now` (in microseconds of the same clock) and returns its payload and age.
 ///
 /// # Errors
 /// The first requirement that the snapshot does not fulfil.
@@ -143,9 +144,9 @@
         return Err(SnapshotError::VersionMismatch(version));
     }
     let (owner, header) = header.split_at(OWNER_LEN);
-    let (taken, length) = header.split_at(TIME_LEN);
-    let taken = little_endian(taken) as i64;
-    let length = little_endian(length) as usize;
+    let (taken_at, length) = header.split_at(TIME_LEN);
+    let taken_at = decode_little_endian(taken_at) as i64;
+    let length = decode_little_endian(length) as usize;
     if rest.len() != length.saturating_add(CHECKSUM_LEN) {
         return Err(SnapshotError::LengthMismatch);
     }
@@ -156,11 +157,11 @@
     if owner != owner_digest(requirements.owner) {
         return Err(SnapshotError::OwnerMismatch);
     }
-    let age = now.saturating_sub(taken);
+    let age = now.saturating_sub(taken_at);
     if age > requirements.max_age {
         return Err(SnapshotError::TooOld(age));
     }
-    if age < -MAX_AHEAD {
+    if age < -MAX_TIME_AHEAD {
         return Err(SnapshotError::FromFuture(age.saturating_neg()));
     }
     Ok(Snapshot {
--- a/crates/snapshot/tests/snapshots.rs
+++ b/crates/snapshot/tests/snapshots.rs
@@ -1,4 +1,5 @@
-//! Snapshots that are truncated, damaged, of another owner, old, too long or absent, and the thread that writes them.
+//! Tests with snapshots that are truncated, damaged, of another owner, too old, too long or absent, and tests of the
+//! thread that writes them.
 
 use std::fs;
 use std::io::ErrorKind;
@@ -51,9 +52,9 @@
     );
 }
 
-/// Nodes of other versions read and write these bytes: they must not change.
+/// Nodes of other versions read and write these bytes, so the format must not change.
 #[test]
-fn bytes_of_a_snapshot_stay_as_published() {
+fn encoded_snapshot_matches_the_published_bytes() {
     let published = b"SLWS\x03\x00\x76\xe5\xcc\x67\x79\x4b\xd4\xa1\x0f\x69\x9f\x07\x37\x75\x70\x25\
         \x00\xc0\x12\x39\x0a\xc0\x06\x00\x0d\x00\x00\x00what is known\
         \xf6\xeb\x09\xda\xb7\x84\x8e\x3b\xd4\xe9\x2d\x97\x87\x11\xbe\xa7\
@@ -64,18 +65,18 @@
 }
 
 #[test]
-fn snapshot_of_another_length_than_announced_is_rejected() {
+fn snapshot_whose_length_differs_from_its_header_is_rejected() {
     let bytes = snapshot_taken_at(NOW);
     for end in 0..bytes.len() {
         assert_eq!(
             decode(&REQUIREMENTS, NOW, &bytes[..end]),
             Err(SnapshotError::LengthMismatch),
-            "cut at {end}"
+            "truncated to {end} bytes"
         );
     }
-    let more = [&bytes[..], b"\0"].concat();
+    let extended = [&bytes[..], b"\0"].concat();
     assert_eq!(
-        decode(&REQUIREMENTS, NOW, &more),
+        decode(&REQUIREMENTS, NOW, &extended),
         Err(SnapshotError::LengthMismatch)
     );
 }
@@ -117,7 +118,7 @@
         decode(&REQUIREMENTS, NOW, &snapshot_taken_at(NOW + 1_000_000))
             .map(|snapshot| snapshot.age),
         Ok(0),
-        "two clocks read in turn"
+        "two clocks that are read one after the other may differ"
     );
     assert_eq!(
         decode(&REQUIREMENTS, NOW, &snapshot_taken_at(NOW + 1_000_001)),
@@ -136,8 +137,8 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(2000) })]
 
     #[test]
-    fn arbitrary_bytes_are_rejected(mut bytes: Vec<u8>, ours: bool) {
-        if ours {
+    fn arbitrary_bytes_are_rejected(mut bytes: Vec<u8>, has_valid_prefix: bool) {
+        if has_valid_prefix {
             bytes.splice(0..0, *b"SLWS\x03\x00");
         }
         prop_assert!(decode(&REQUIREMENTS, NOW, &bytes).is_err());
@@ -147,7 +148,7 @@
 #[test]
 fn file_holds_the_snapshot_written_last() {
     let dir = tempfile::tempdir().unwrap();
-    let file = SnapshotFile::new(dir.path(), "kept", 8);
+    let file = SnapshotFile::new(dir.path(), "snapshot", 8);
     assert_eq!(file.read().unwrap(), None);
     file.write(b"one").unwrap();
     file.write(b"two").unwrap();
@@ -164,14 +165,14 @@
     assert_eq!(
         file.read().unwrap().as_deref(),
         Some(&b"two"[..]),
-        "the previous one stays"
+        "the previous snapshot is still there"
     );
 }
 
 #[test]
-fn file_too_long_or_not_regular_is_an_error() {
+fn reading_a_file_that_is_too_long_or_not_regular_fails() {
     let dir = tempfile::tempdir().unwrap();
-    let file = SnapshotFile::new(dir.path(), "kept", 8);
+    let file = SnapshotFile::new(dir.path(), "snapshot", 8);
     fs::write(file.path(), [0; 9]).unwrap();
     assert_eq!(
         file.read().unwrap_err().to_string(),
@@ -179,8 +180,11 @@
     );
     fs::remove_file(file.path()).unwrap();
     fs::create_dir(file.path()).unwrap();
-    assert_eq!(file.read().unwrap_err().to_string(), "is no file");
-    assert!(file.write(b"x").is_err(), "a file is not replaced");
+    assert_eq!(
+        file.read().unwrap_err().to_string(),
+        "is not a regular file"
+    );
+    assert!(file.write(b"x").is_err(), "a directory is not replaced");
     assert_eq!(
         fs::read_dir(dir.path()).unwrap().count(),
         1,
@@ -188,8 +192,11 @@
     );
     fs::remove_dir(file.path()).unwrap();
     symlink("/dev/zero", file.path()).unwrap();
-    assert_eq!(file.read().unwrap_err().to_string(), "is no file");
-    let in_missing_directory = SnapshotFile::new(&dir.path().join("gone"), "kept", 8);
+    assert_eq!(
+        file.read().unwrap_err().to_string(),
+        "is not a regular file"
+    );
+    let in_missing_directory = SnapshotFile::new(&dir.path().join("missing"), "snapshot", 8);
     assert_eq!(in_missing_directory.read().unwrap(), None);
     assert!(in_missing_directory.write(b"x").is_err());
 }
@@ -197,26 +204,29 @@
 #[test]
 fn only_abandoned_temporary_files_are_removed() {
     let dir = tempfile::tempdir().unwrap();
-    let file = SnapshotFile::new(dir.path(), "kept", 8);
-    let hour_ago = SystemTime::now() - Duration::from_secs(3600);
-    for name in ["kept.1.half", "kept", "other.1.half"] {
+    let file = SnapshotFile::new(dir.path(), "snapshot", 8);
+    let one_hour_ago = SystemTime::now() - Duration::from_secs(3600);
+    for name in ["snapshot.1.half", "snapshot", "other.1.half"] {
         let created = fs::File::create(dir.path().join(name)).unwrap();
-        created.set_modified(hour_ago).unwrap();
+        created.set_modified(one_hour_ago).unwrap();
     }
-    fs::write(dir.path().join("kept.2.half"), "being written").unwrap();
+    fs::write(dir.path().join("snapshot.2.half"), "being written").unwrap();
     file.remove_temporary_files();
     let mut left: Vec<_> = fs::read_dir(dir.path())
         .unwrap()
         .map(|e| e.unwrap().file_name())
         .collect();
     left.sort();
-    assert_eq!(left, ["kept", "kept.2.half", "other.1.half"]);
+    assert_eq!(left, ["other.1.half", "snapshot", "snapshot.2.half"]);
 }
 
-fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+fn wait_until(expected: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
-        assert!(started.elapsed() < Duration::from_secs(20), "{what}");
+        assert!(
+            started.elapsed() < Duration::from_secs(20),
+            "timeout: {expected}"
+        );
         std::thread::yield_now();
     }
 }
@@ -224,28 +234,32 @@
 #[test]
 fn writer_writes_accepted_snapshots_and_reports_errors_once() {
     let dir = tempfile::tempdir().unwrap();
-    let file = SnapshotFile::new(dir.path(), "kept", 8);
+    let file = SnapshotFile::new(dir.path(), "snapshot", 8);
     let writer = SnapshotWriter::start(file.clone()).unwrap();
-    wait_until("it accepts one", || writer.offer(b"one".to_vec()));
-    wait_until("it writes it", || {
+    wait_until("the writer accepts a snapshot", || {
+        writer.offer(b"one".to_vec())
+    });
+    wait_until("the file holds the snapshot", || {
         file.read().unwrap().as_deref() == Some(b"one")
     });
     assert!(writer.take_last_error().is_none());
-    wait_until("it accepts one that is too long", || {
+    wait_until("the writer accepts a snapshot that is too long", || {
         writer.offer(vec![0; 9])
     });
     let mut reported = None;
-    wait_until("it reports the error", || {
+    wait_until("the writer reports the error", || {
         reported = writer.take_last_error();
         reported.is_some()
     });
     assert!(reported
         .unwrap()
         .to_string()
-        .ends_with("kept: 9 bytes, 8 are allowed"));
+        .ends_with("snapshot: 9 bytes exceed the limit of 8"));
     assert!(writer.take_last_error().is_none(), "reported once");
-    wait_until("it accepts the next one", || writer.offer(b"two".to_vec()));
-    wait_until("it writes it", || {
+    wait_until("the writer accepts the next snapshot", || {
+        writer.offer(b"two".to_vec())
+    });
+    wait_until("the file holds the snapshot", || {
         file.read().unwrap().as_deref() == Some(b"two")
     });
 }
