--- a/crates/memcached/src/config.rs
+++ b/crates/memcached/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the memcached frontend and of the cache servers that speak the memcached binary protocol;
+//! The configuration file of the memcached frontend and of the cache servers that use the memcached binary protocol;
 //! `docs/memcached.md` describes its fields.
 //!
 //! [`parse`] reports all errors of the file at once, each with its line and its field, and guarantees that a
@@ -14,22 +14,22 @@
 use crate::idempotency_ledger::LedgerLimits;
 use crate::routing::{KeySource, Operation, Pattern, Route, RoutingTable};
 
-/// Longest value that may be configured, in bytes: the limit of the RESP2 protocol.
+/// Upper bound of `value_most`, in bytes: the limit of the RESP2 codec.
 const MAX_VALUE_BYTES: u32 = 4 << 20;
-/// Longest value unless configured, in bytes.
+/// Default of `value_most`, in bytes.
 const DEFAULT_MAX_VALUE_BYTES: u32 = 1 << 20;
 /// Upper bound of the memory that an entry of the ledger takes, in bytes: three copies of its key (64 bytes) and the
 /// collections that hold them.
 pub const LEDGER_ENTRY_BYTES: usize = 512;
-/// The ledger may take the node's memory divided by this.
+/// The ledger may use at most the node's memory divided by this number.
 pub const LEDGER_MEMORY_DIVISOR: usize = 16;
-/// Most entries of the ledger that may be configured.
+/// Upper bound of the ledger's `entries`.
 const MAX_LEDGER_ENTRIES: u32 = 1_000_000;
-/// Entries of the ledger unless configured, if the node's memory allows.
+/// Default of the ledger's `entries`, reduced if the node's memory does not allow as many.
 const DEFAULT_LEDGER_ENTRIES: usize = 4096;
-/// Longest retention of the ledger that may be configured, in milliseconds: a day.
+/// Upper bound of the ledger's `remember_ms`, in milliseconds: one day.
 const MAX_RETENTION_MS: u32 = 86_400_000;
-/// Longest deadline of a route whose class is unknown, in milliseconds: an hour.
+/// Upper bound of the `deadline_ms` of a route whose class is unknown, in milliseconds: one hour.
 const MAX_DEADLINE_MS: Micros = 3_600_000;
 
 const TOP_LEVEL_FIELDS: [&str; 5] = ["listen", "value_most", "ledger", "route", "box"];
@@ -46,17 +46,17 @@
 /// The contents of the configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemcachedConfig {
-    /// The address at which memcached clients are accepted; `None` if only cache servers speak the protocol.
+    /// Listen address for memcached clients; `None` if only cache servers use the protocol.
     pub listen: Option<SocketAddr>,
     /// Longest value that a client may set, in bytes.
     pub max_value_bytes: usize,
-    /// The routes of requests.
+    /// The routing table of client requests.
     pub routes: RoutingTable,
     /// The limits of the idempotency ledger.
     pub ledger: LedgerLimits,
-    /// How far the clock of a client may be off, in microseconds (idempotency keys that carry a time).
+    /// Maximum clock skew of a client, in microseconds; used for idempotency keys that carry a timestamp.
     pub max_clock_skew: Micros,
-    /// The models of cache servers, as the endpoint list names them, that speak the binary protocol.
+    /// Models of the cache servers that use the binary protocol, as named in the endpoint list.
     pub models: Vec<String>,
 }
 
@@ -66,7 +66,7 @@
     max_clock_skew: Micros,
 }
 
-/// A route whose class has idempotency keys.
+/// A route whose class requires idempotency keys.
 struct KeyedRoute<'a> {
     route: &'a Route,
     deduplication_window: Micros,
@@ -100,7 +100,7 @@
             reader.report(
                 top,
                 "route",
-                "is missing: without a route every request is refused; allowed: [[route]]",
+                "is missing: without a route every request is rejected; allowed: [[route]]",
             );
         }
         let routes: Vec<Option<Route>> = route_sections
@@ -108,7 +108,7 @@
             .map(|section| read_route(reader, *section, names, classes))
             .collect();
         let keyed_routes = keyed_routes(&routes, &route_sections, classes);
-        // One window holds for all keys: the shortest.
+        // The ledger applies one window to all keys: the shortest of all routes.
         ledger.limits.deduplication_window = keyed_routes
             .iter()
             .map(|keyed| keyed.deduplication_window)
@@ -143,7 +143,8 @@
     )
 }
 
-/// Reads the `[ledger]` section, or its defaults where there is none. The deduplication window is not known yet.
+/// Reads the `[ledger]` section, or its defaults if there is none. The deduplication window is left at 0, since it
+/// depends on the routes.
 fn read_ledger(
     reader: &mut Reader<'_>,
     top: Section<'_>,
@@ -155,7 +156,7 @@
     if let Some(section) = ledger_section {
         reader.reject_unknown_fields(section, &LEDGER_FIELDS);
     }
-    // Without a section the defaults apply: the top level has no field of these names.
+    // Without a section the defaults apply, since the top level has no fields of these names.
     let section = ledger_section.unwrap_or(top);
     let entries = reader
         .integer(
@@ -170,7 +171,7 @@
     let max_clock_skew = reader.integer(section, "clock_skew_ms", 0..=60_000, Some(500));
     if entries > max_entries {
         let why = format!(
-            "is {entries}; with {LEDGER_ENTRY_BYTES} bytes each that is over one part in {LEDGER_MEMORY_DIVISOR} of memory_mb; \
+            "is {entries}; at {LEDGER_ENTRY_BYTES} bytes each, the entries exceed 1/{LEDGER_MEMORY_DIVISOR} of memory_mb; \
              allowed: up to {max_entries}"
         );
         reader.report(section, "entries", why);
@@ -201,7 +202,7 @@
     let class_name = reader.text(section, "class", "a class of the node's settings");
     let class = class_name.and_then(|name| find_class(reader, section, names, name));
     let tenant_name = if section.has("tenant") {
-        reader.text(section, "tenant", "a tenant (realm) of the settings")
+        reader.text(section, "tenant", "a tenant (realm) of the node's settings")
     } else {
         None
     };
@@ -243,7 +244,7 @@
 }
 
 fn read_pattern(reader: &mut Reader<'_>, section: Section<'_>) -> Option<Pattern> {
-    let text = reader.text(section, "keys", "a key, or the beginning of keys and *")?;
+    let text = reader.text(section, "keys", "a key, or a prefix of keys followed by *")?;
     match Pattern::parse(text) {
         Ok(pattern) => Some(pattern),
         Err(error) => {
@@ -261,7 +262,7 @@
 ) -> Option<usize> {
     let class = names.class(name);
     if class.is_none() {
-        let why = format!("{name:?} is no class of the node's settings");
+        let why = format!("{name:?} is not a class of the node's settings");
         reader.report(section, "class", why);
     }
     class
@@ -275,7 +276,7 @@
 ) -> Option<usize> {
     let tenant = names.tenant(name);
     if tenant.is_none() {
-        let why = format!("{name:?} is no tenant (realm) of the node's settings");
+        let why = format!("{name:?} is not a tenant (realm) of the node's settings");
         reader.report(section, "tenant", why);
     }
     tenant
@@ -293,7 +294,7 @@
     reader.parsed_text(section, "key_from", allowed, Some(KeySource::None), parse)
 }
 
-/// The routes without errors whose class has idempotency keys, with their sections.
+/// The routes without errors whose class requires idempotency keys, with their sections.
 fn keyed_routes<'a>(
     routes: &'a [Option<Route>],
     sections: &[Section<'a>],
@@ -311,28 +312,30 @@
     routes.iter().zip(sections).filter_map(keyed).collect()
 }
 
-/// Reports a retention shorter than the deduplication window: a retry after the window must still be recognized.
+/// Reports a retention that is shorter than the deduplication window, because the ledger must still recognize a retry
+/// that arrives after the window.
 fn check_retention(reader: &mut Reader<'_>, section: Section<'_>, limits: &LedgerLimits) {
     if limits.retention >= limits.deduplication_window {
         return;
     }
     let why = format!(
-        "is {}; boxes drop repeats for {} ms, and a repeat after that must still be known; allowed: no less",
+        "is {}; cache servers deduplicate for {} ms, and a later retry must still be recognized; allowed: at least that long",
         limits.retention / 1000,
         limits.deduplication_window / 1000
     );
     reader.report(section, "remember_ms", why);
 }
 
-/// Reports routes with timestamps if margin and clock skew leave nothing of the deduplication window.
+/// Reports routes with timestamp keys if margin and clock skew together are as long as the deduplication window or longer:
+/// every such key would count as expired.
 fn check_timestamp_routes(
     reader: &mut Reader<'_>,
     keyed_routes: &[KeyedRoute<'_>],
     ledger: &LedgerSettings,
 ) {
     let window = ledger.limits.deduplication_window;
-    let lost = ledger.limits.margin + ledger.max_clock_skew;
-    if window > lost {
+    let margin_and_skew = ledger.limits.margin + ledger.max_clock_skew;
+    if window > margin_and_skew {
         return;
     }
     for keyed in keyed_routes {
@@ -340,15 +343,16 @@
             continue;
         }
         let why = format!(
-            "no stamp could be in time: boxes drop repeats for {} ms, and margin_ms and clock_skew_ms are {} ms",
+            "every timestamp would be too old: cache servers deduplicate for {} ms, and margin_ms and clock_skew_ms add up to {} ms",
             window / 1000,
-            lost / 1000
+            margin_and_skew / 1000
         );
         reader.report(keyed.section, "key_from", why);
     }
 }
 
-/// Makes the table of the routes without errors; `None` if the routes do not go together.
+/// Builds the routing table from the routes without errors. Returns `None` if the table has problems, which it reports if
+/// all routes were valid.
 fn make_table(
     reader: &mut Reader<'_>,
     routes: Vec<Option<Route>>,
@@ -361,7 +365,7 @@
     match RoutingTable::new(routes, classes, margin) {
         Ok(table) => Some(table),
         Err(problems) => {
-            // Indices of routes are those of sections only if no route was left out.
+            // The index of a route is the index of its section only if no route was left out.
             for problem in problems.iter().filter(|_| complete) {
                 let section = sections[problem.route];
                 reader.report(section, problem.error.field(), problem.error.to_string());
@@ -371,7 +375,7 @@
     }
 }
 
-/// Reads the `[[box]]` sections: the models of cache servers that speak the binary protocol.
+/// Reads the `[[box]]` sections: the models of cache servers that use the binary protocol.
 fn read_models(reader: &mut Reader<'_>, top: Section<'_>) -> Vec<String> {
     let mut models = Vec::new();
     for section in reader.list(top, "box") {
@@ -379,12 +383,16 @@
         let protocol = reader.parsed_text(section, "protocol", "\"memcached\"", None, |word| {
             (word == "memcached").then_some(())
         });
-        let model = reader.text(section, "model", "a model of the list's entries");
+        let model = reader.text(
+            section,
+            "model",
+            "a model of cache servers in the endpoint list",
+        );
         let (Some(model), Some(())) = (model, protocol) else {
             continue;
         };
         if models.iter().any(|known| known == model) {
-            reader.report(section, "model", "stands there twice");
+            reader.report(section, "model", "is listed twice");
         }
         models.push(model.to_string());
     }
--- a/crates/memcached/src/config_tests.rs
+++ b/crates/memcached/src/config_tests.rs
@@ -65,13 +65,13 @@
         })
         .collect();
     assert_eq!(lines_and_fields, expected);
-    // Errors of the table are reported once each route by itself is valid.
+    // Errors of the table are reported only if each route is valid by itself.
     let problems =
         parse_config("[[route]]\noperation = \"set\"\nkeys = \"x\"\nclass = \"alarm-set\"\n")
             .unwrap_err();
     assert_eq!(
         problems,
-        ["line 1: route[0].key_from: the class is keyed: say where its key comes from"]
+        ["line 1: route[0].key_from: the class requires an idempotency key: set the source of the key"]
     );
     let timestamp_route =
         "[[route]]\noperation = \"set\"\nkeys = \"x\"\nclass = \"alarm-set\"\nkey_from = \"stamp\"\n";
@@ -79,12 +79,12 @@
     let problems =
         parse_config(&format!("[ledger]\nmargin_ms = 9500\n{timestamp_route}")).unwrap_err();
     assert!(
-        problems[0].starts_with("line 7: route[0].key_from: no stamp could be in time"),
+        problems[0].starts_with("line 7: route[0].key_from: every timestamp would be too old"),
         "{problems:?}"
     );
     let problems = parse_config("listen = \"127.0.0.1:11211\"").unwrap_err();
     assert!(
-        problems[0].contains("every request is refused"),
+        problems[0].contains("every request is rejected"),
         "{problems:?}"
     );
 }
--- a/crates/memcached/src/idempotency_ledger_tests.rs
+++ b/crates/memcached/src/idempotency_ledger_tests.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn repeat_is_forwarded_within_the_window_and_answered_with_the_receipt_after_it() {
+fn retry_is_forwarded_within_the_window_and_answered_with_the_receipt_after_it() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
     assert_eq!(ledger.begin(0, &key(1), false), Verdict::New);
     assert!(ledger.send(100, &key(1)));
@@ -30,7 +30,10 @@
         Verdict::Repeat { until: 9_100 }
     );
     assert!(ledger.send(9_099, &key(1)));
-    assert!(!ledger.send(9_100, &key(1)), "it would arrive too late");
+    assert!(
+        !ledger.send(9_100, &key(1)),
+        "the attempt could arrive after the window"
+    );
     ledger.finish(9_200, &key(1), None);
     assert_eq!(
         ledger.begin(9_300, &key(1), false),
@@ -39,7 +42,7 @@
 }
 
 #[test]
-fn repeat_without_a_recorded_receipt_fails_after_the_window() {
+fn retry_without_a_recorded_receipt_fails_after_the_window() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
     assert_eq!(ledger.begin(0, &key(1), false), Verdict::New);
     assert!(ledger.send(100, &key(1)));
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn expired_key_without_an_entry_is_not_new() {
+fn expired_key_without_an_entry_has_an_unknown_outcome() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
     assert_eq!(ledger.begin(0, &key(1), true), Verdict::Unknown);
     assert!(ledger.is_empty());
@@ -98,13 +101,13 @@
 }
 
 #[test]
-fn endlessly_repeated_write_takes_the_memory_of_one() {
+fn memory_is_bounded_when_one_write_is_repeated_endlessly() {
     let mut ledger = IdempotencyLedger::new(LedgerLimits {
         deduplication_window: 1_000_000,
         ..LIMITS
     });
     for n in 0..1_000 {
-        // Three repeats in each microsecond.
+        // Three requests in each microsecond.
         let now = n / 3;
         assert!(!matches!(
             ledger.begin(now, &key(1), false),
@@ -118,25 +121,29 @@
         ledger.begin(333 + LIMITS.retention, &key(2), false),
         Verdict::New
     );
-    assert_eq!(ledger.len(), 1, "its only entry expired");
+    assert_eq!(
+        ledger.len(),
+        1,
+        "the entry of the repeated write has expired"
+    );
 }
 
 proptest! {
-    /// Compared with a model that never forgets: within the retention, no write takes effect twice at cache servers that
-    /// deduplicate for exactly the window.
+    /// Compares the ledger with a model of cache servers that deduplicate for exactly the window: within the retention,
+    /// no write takes effect twice. The model records every effect.
     #[test]
     fn no_write_takes_effect_twice(
         steps in prop::collection::vec((0usize..6, 0usize..5, 0i64..6_000, any::<bool>()), 1..200),
     ) {
         let mut ledger = IdempotencyLedger::new(LIMITS);
-        // By key: when the deduplication window of its last effect began, and how many effects it had.
+        // For each key: when the deduplication window of its last effect began, and the number of its effects.
         let mut effects_by_key: BTreeMap<usize, (Micros, u32)> = BTreeMap::new();
         let mut in_flight: BTreeMap<usize, bool> = BTreeMap::new();
         let mut last_end: BTreeMap<usize, Micros> = BTreeMap::new();
         let mut now = 0;
         for (action, key_number, pause, receipt_lost) in steps {
             now += pause;
-            // There is no guarantee after the retention.
+            // The ledger gives no guarantee after the retention.
             effects_by_key.retain(|k, _| {
                 in_flight.contains_key(k) || last_end.get(k).is_none_or(|at| now - at < LIMITS.retention)
             });
@@ -149,7 +156,7 @@
                 }
                 3 if in_flight.contains_key(&key_number) => {
                     if ledger.send(now, &key(key_number)) {
-                        // It arrives within the margin and runs unless it is still deduplicated.
+                        // The attempt arrives within the margin and takes effect unless the cache servers still deduplicate it.
                         let arrives = now + LIMITS.margin - 1;
                         let effect = effects_by_key.entry(key_number).or_insert((arrives, 0));
                         if effect.1 == 0 || arrives - effect.0 >= LIMITS.deduplication_window {
--- a/crates/memcached/src/routing.rs
+++ b/crates/memcached/src/routing.rs
@@ -1,8 +1,9 @@
-//! The routing table: derives from a memcached request what a standard client does not send, namely its class, tenant
-//! and deadline and, for a write, its idempotency key.
+//! The routing table: derives the class, tenant and deadline of a memcached request and, for a write, its idempotency
+//! key, none of which a standard client sends.
 //!
-//! It guarantees that no write is retried by a guess: a request that matches no route is rejected, the route of a write
-//! names a class whose retries are safe, and a value without the required idempotency key is an error to the client.
+//! The table guarantees that a write is retried only if the retry is known to be safe: a request that matches no route is
+//! rejected, the class of a write's route either deduplicates retries or forbids them, and a value without the required
+//! idempotency key is rejected with an error to the client.
 //! The table is immutable after [`RoutingTable::new`]. `docs/memcached.md` describes its fields.
 
 use std::fmt::Write;
@@ -13,14 +14,14 @@
 
 use crate::idempotency_ledger::IdempotencyKey;
 
-/// Allowed length of an idempotency key that a client puts before a value, in bytes.
-pub const KEY_PREFIX_LENGTH: std::ops::RangeInclusive<usize> = 8..=64;
-/// Bytes of the SHA-256 digest that make an idempotency key.
+/// Allowed length of an idempotency key that a client sends at the beginning of a value, in bytes.
+pub const KEY_PREFIX_BYTES: std::ops::RangeInclusive<usize> = 8..=64;
+/// Number of leading bytes of the SHA-256 digest that form an idempotency key.
 const DIGEST_KEY_BYTES: usize = 16;
-/// Decimal digits of Unix time in milliseconds, until the year 2286.
+/// Number of decimal digits of Unix time in milliseconds, until the year 2286.
 const TIMESTAMP_DIGITS: usize = 13;
 
-/// What a request does.
+/// The operation of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Reads a value.
@@ -29,18 +30,18 @@
     Set,
 }
 
-/// A text that is not a pattern. The message continues the quoted text.
+/// Why a text is not a valid pattern. The message is shown after the quoted text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum PatternError {
     /// The text is empty.
     #[error("is empty; * stands for all keys")]
     Empty,
-    /// A star stands elsewhere than at the end.
+    /// The text contains a star that is not its last character.
     #[error("has a star that is not its last character")]
     MisplacedStar,
 }
 
-/// The keys that a route is for.
+/// The set of keys that a route applies to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Pattern {
     /// One key.
@@ -68,7 +69,7 @@
         })
     }
 
-    /// Whether a key is one of the pattern's.
+    /// Whether the pattern matches a key.
     pub fn matches(&self, key: &[u8]) -> bool {
         match self {
             Pattern::Exact(exact) => exact == key,
@@ -91,30 +92,31 @@
 /// Where the idempotency key of a write comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeySource {
-    /// The write has none and is not retried.
+    /// The write has no idempotency key and is not retried.
     None,
     /// The digest of class, key and value: two writes of the same value to the same key are one operation.
     Digest,
-    /// The value begins with it, up to the first colon; it stays in the value.
+    /// The part of the value before its first colon. The value is forwarded with this part.
     Prefix,
-    /// Like [`KeySource::Prefix`], and the idempotency key begins with the time of the operation (Unix time in
-    /// milliseconds) and a hyphen. Any node recognizes a retry that comes too late, even after a restart.
+    /// Like [`KeySource::Prefix`], but the idempotency key must begin with the time of the operation (Unix time in
+    /// milliseconds) and a hyphen. This lets any node recognize a retry that arrives too late to be deduplicated,
+    /// even after the node has restarted.
     Timestamp,
 }
 
-/// A value that does not have the idempotency key that its route requires. The message is shown to the client.
+/// Why a value has no idempotency key of the form that its route requires. The message is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
     /// The value does not begin with an idempotency key.
     #[error("{}", self.message())]
     MissingPrefix,
-    /// The idempotency key does not begin with a time.
+    /// The idempotency key does not begin with a timestamp.
     #[error("{}", self.message())]
     MissingTimestamp,
 }
 
 impl KeyError {
-    /// The message shown to the client.
+    /// The message that is sent to the client.
     pub fn message(self) -> &'static str {
         match self {
             KeyError::MissingPrefix => {
@@ -130,24 +132,24 @@
 /// One route of the table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// The operation that the route is for.
+    /// The operation that the route applies to.
     pub operation: Operation,
-    /// The keys that the route is for.
+    /// The keys that the route applies to.
     pub keys: Pattern,
     /// The class of the request: an index into the classes of the node's settings.
     pub class: usize,
-    /// The tenant of the request: an index into the tenants of the node's settings.
+    /// The tenant of the request: an index into the tenants of the node's settings. `None` if the route names no tenant.
     pub tenant: Option<usize>,
-    /// How long the client is assumed to wait, in microseconds.
+    /// How long the client is assumed to wait for a response, in microseconds.
     pub deadline: Micros,
     /// Where the idempotency key of a write comes from.
     pub key_source: KeySource,
-    /// Class and tenant in the form of a RESP2 request's list of fields.
+    /// Class and tenant as the list of fields of a RESP2 request, for example `c=alarm-set,t=distribution`.
     pub fields: String,
 }
 
 impl Route {
-    /// The idempotency key of a write; `None` if the route has none.
+    /// The idempotency key of a write; `None` if the route has no key source.
     ///
     /// # Errors
     /// The value does not begin with the idempotency key that the route requires.
@@ -171,10 +173,10 @@
         }
     }
 
-    /// The idempotency key made of class, key and value.
+    /// The idempotency key derived from class, key and value: a prefix of their SHA-256 digest in hexadecimal.
     fn digest_key(&self, key: &[u8], value: &[u8]) -> IdempotencyKey {
         let mut digest = Sha256::new();
-        // The length of the key comes first, so that no two pairs of key and value make the same bytes.
+        // The key's length precedes the key so that two different pairs of key and value never hash the same bytes.
         digest.update((self.class as u64).to_be_bytes());
         digest.update((key.len() as u64).to_be_bytes());
         digest.update(key);
@@ -188,24 +190,25 @@
     }
 }
 
-/// The idempotency key at the beginning of a value, if there is one of the allowed length and characters.
+/// The idempotency key at the beginning of a value; `None` if there is none of the allowed length and characters.
 fn key_prefix(value: &[u8]) -> Option<&str> {
     let end = value
         .iter()
-        .take(KEY_PREFIX_LENGTH.end() + 1)
+        .take(KEY_PREFIX_BYTES.end() + 1)
         .position(|byte| *byte == b':')?;
     let prefix = &value[..end];
-    // It travels in a list of fields: none of its characters may end a field.
+    // The key is sent in a list of fields, so it must not contain a character that ends a field.
     let allowed = prefix
         .iter()
         .all(|byte| byte.is_ascii_alphanumeric() || *byte == b'-');
-    if !KEY_PREFIX_LENGTH.contains(&prefix.len()) || !allowed {
+    if !KEY_PREFIX_BYTES.contains(&prefix.len()) || !allowed {
         return None;
     }
     std::str::from_utf8(prefix).ok()
 }
 
-/// The time in an idempotency key of [`KeySource::Timestamp`], in microseconds of Unix time.
+/// The timestamp of an idempotency key of [`KeySource::Timestamp`], as Unix time in microseconds; `None` if the key does
+/// not begin with one.
 pub fn key_timestamp(key: &str) -> Option<Micros> {
     let (digits, rest) = key.split_once('-')?;
     let valid = digits.len() == TIMESTAMP_DIGITS
@@ -221,42 +224,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RouteError {
     /// The index of the class is out of range.
-    #[error("is none of the settings' classes")]
+    #[error("is not a class of the node's settings")]
     UnknownClass,
-    /// A route of reads has a source of idempotency keys.
+    /// A route of reads has a key source.
     #[error("a read has no idempotency key")]
     ReadWithKey,
-    /// A route of reads has a class of writes.
-    #[error("a read needs a class that may be repeated freely")]
+    /// A route of reads has a class whose requests are not idempotent.
+    #[error("a read needs a class that may be retried freely (\"repeat\": \"free\")")]
     ReadOfWriteClass,
     /// A route of writes has a class whose requests are retried without an idempotency key.
-    #[error("a write must not be of a class that may be repeated freely")]
+    #[error("a write must not be of a class that may be retried freely (\"repeat\": \"free\")")]
     WriteOfReadClass,
-    /// The class needs idempotency keys and the route has no source of them.
-    #[error("the class is keyed: say where its key comes from")]
+    /// The class requires idempotency keys and the route has no key source.
+    #[error("the class requires an idempotency key: set the source of the key")]
     MissingKeySource,
-    /// The class has no idempotency keys and the route has a source of them.
-    #[error("the class may not be repeated: boxes drop nothing by this key")]
+    /// The class is not retried and the route has a key source.
+    #[error("the class may not be retried: cache servers do not deduplicate it by this key")]
     KeyOfNonIdempotentClass,
     /// The deduplication window of the class is not longer than the margin.
-    #[error("boxes forget its repeats before one could arrive")]
+    #[error("the deduplication window of the class ends before a retry could arrive")]
     WindowTooShort,
     /// Not all cache servers deduplicate the class.
-    #[error("only part of the boxes drops its repeats: one on another connection may miss it")]
+    #[error("only some cache servers deduplicate the class: a retry on another connection may run again")]
     PartialDeduplication,
     /// The deadline is not positive, or longer than that of the class.
-    #[error("must be above zero and within the class's own")]
+    #[error("must be above zero and at most the deadline of the class")]
     DeadlineOutOfRange,
     /// An earlier route matches all the route's keys.
-    #[error("no key comes here: route {} takes them all", .earlier + 1)]
+    #[error("the route is unreachable: route {} matches all its keys", .earlier + 1)]
     Unreachable {
-        /// Index of the earlier route.
+        /// Index of the earlier route, counted from 0; the message counts from 1.
         earlier: usize,
     },
 }
 
 impl RouteError {
-    /// The field of the route that has to be changed, as the configuration file names it.
+    /// Name of the route's field in the configuration file that has to be corrected.
     pub fn field(self) -> &'static str {
         match self {
             RouteError::UnknownClass
@@ -277,21 +280,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("route {}: {}: {error}", .route + 1, .error.field())]
 pub struct RouteProblem {
-    /// Index of the route.
+    /// Index of the route, counted from 0; the message counts from 1.
     pub route: usize,
-    /// What is wrong with it.
+    /// The error of the route.
     pub error: RouteError,
 }
 
-/// The routes in order of precedence: the first one that matches a request counts.
+/// The routes in order of precedence: a request takes the first one that matches it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RoutingTable {
     routes: Vec<Route>,
 }
 
 impl RoutingTable {
-    /// Checks routes against the classes of the node's settings and makes a table of them. `margin` is the time a
-    /// message may take to a cache server, in microseconds.
+    /// Checks routes against the classes of the node's settings and builds a table from them. `margin` is the time that
+    /// a message may take to a cache server, in microseconds.
     ///
     /// # Errors
     /// All problems of all routes, in the order of the routes.
@@ -315,7 +318,7 @@
         }
     }
 
-    /// The route of a request; a request without one is rejected.
+    /// The first route that matches a request. Returns `None` if no route matches: the request has to be rejected.
     pub fn find(&self, operation: Operation, key: &[u8]) -> Option<&Route> {
         self.routes
             .iter()
@@ -323,7 +326,7 @@
     }
 }
 
-/// All errors of a route, given the routes before it.
+/// All errors of a route. `earlier_routes` are the routes that precede it in the table.
 fn route_errors(
     route: &Route,
     earlier_routes: &[Route],
@@ -341,7 +344,7 @@
     checks.into_iter().filter_map(Result::err)
 }
 
-/// Whether the class of a route makes the route's retries safe.
+/// Checks that requests of the route may be retried as its class allows.
 fn check_class(route: &Route, class: &Class, margin: Micros) -> Result<(), RouteError> {
     let has_key = route.key_source != KeySource::None;
     match (route.operation, class.idempotency) {
--- a/crates/memcached/src/routing_tests.rs
+++ b/crates/memcached/src/routing_tests.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// The index and the field of each problem that a table of these routes has.
+/// The index of the route and the field of each problem that a table of these routes has.
 fn problem_fields(routes: &[Route]) -> Vec<(usize, &'static str)> {
     let found = RoutingTable::new(routes.to_vec(), &classes(), 1_000_000)
         .err()
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn first_matching_route_counts_and_unmatched_requests_have_none() {
+fn find_returns_the_first_matching_route_or_none() {
     use Operation::{Get, Set};
     let routes = vec![
         route(Get, "logger/7", 0, KeySource::None),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn routes_that_would_make_unsafe_retries_are_rejected() {
+fn routes_with_unsafe_retries_are_rejected() {
     use Operation::{Get, Set};
     assert_eq!(
         problem_fields(&[route(Set, "*", 0, KeySource::None)]),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn unreachable_route_is_reported() {
+fn unreachable_routes_and_invalid_patterns_are_rejected() {
     let get = |keys| route(Operation::Get, keys, 0, KeySource::None);
     assert_eq!(
         problem_fields(&[get("logger/*"), get("logger/7")]),
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn idempotency_key_comes_from_the_source_of_the_route() {
+fn idempotency_key_is_derived_from_the_key_source_of_the_route() {
     let digest = route(Operation::Set, "*", 1, KeySource::Digest);
     let key = |k: &[u8], v: &[u8]| digest.idempotency_key(k, v).unwrap().unwrap();
     assert_eq!(key(b"a", b"on"), key(b"a", b"on"));
@@ -176,8 +176,8 @@
         route(Operation::Set, "*", 2, KeySource::None).idempotency_key(b"a", b"x"),
         Ok(None)
     );
-    let stamped = route(Operation::Set, "*", 1, KeySource::Timestamp);
-    let key = stamped
+    let timestamped = route(Operation::Set, "*", 1, KeySource::Timestamp);
+    let key = timestamped
         .idempotency_key(b"a", b"1796116800123-7f:on")
         .unwrap()
         .unwrap();
@@ -192,21 +192,21 @@
         b"+796116800123-7:on",
     ] {
         assert!(
-            stamped.idempotency_key(b"a", invalid).is_err(),
+            timestamped.idempotency_key(b"a", invalid).is_err(),
             "{invalid:?}"
         );
     }
 }
 
 #[test]
-fn messages_to_users_keep_their_words() {
+fn messages_to_users_have_the_expected_text() {
     let problem = RouteProblem {
         route: 1,
         error: RouteError::Unreachable { earlier: 0 },
     };
     assert_eq!(
         problem.to_string(),
-        "route 2: keys: no key comes here: route 1 takes them all"
+        "route 2: keys: the route is unreachable: route 1 matches all its keys"
     );
     assert_eq!(
         PatternError::Empty.to_string(),
