--- a/crates/codec/benches/codecs.rs
+++ b/crates/codec/benches/codecs.rs
@@ -1,4 +1,5 @@
-//! `cargo bench -p sloewick-codec`: the time to read and write a command, a reply, a packet and a list.
+//! Benchmarks of decoding and encoding RESP2 commands and replies, memcached packets and HTTP responses. Run with
+//! `cargo bench -p sloewick-codec`.
 
 use bytes::{Bytes, BytesMut};
 use divan::counter::BytesCount;
@@ -11,7 +12,8 @@
     divan::main();
 }
 
-fn command(value: usize) -> Vec<u8> {
+/// A `C.SET` command with a value of `value_len` bytes.
+fn command(value_len: usize) -> Vec<u8> {
     let fields = b"c=trace-read,t=distribution,d=387,k=5c0f6e1a2b3d4c59";
     let mut out = Vec::new();
     write_header(&mut out, b'*', 5);
@@ -20,7 +22,7 @@
         b"logger/00417",
         b"7f3a9c21e0b4d655",
         fields,
-        &vec![b'v'; value],
+        &vec![b'v'; value_len],
     ] {
         write_bulk(&mut out, word);
     }
@@ -28,8 +30,8 @@
 }
 
 #[divan::bench(args = [24, 4000, 60_000])]
-fn read_a_command(bencher: Bencher<'_, '_>, value: usize) {
-    let bytes = command(value);
+fn read_a_command(bencher: Bencher<'_, '_>, value_len: usize) {
+    let bytes = command(value_len);
     bencher
         .counter(BytesCount::from(bytes.len()))
         .bench_local(|| {
@@ -40,21 +42,21 @@
 }
 
 #[divan::bench(args = [200, 20_000])]
-fn read_a_reply(bencher: Bencher<'_, '_>, value: usize) {
+fn read_a_reply(bencher: Bencher<'_, '_>, value_len: usize) {
     let mut bytes = Vec::new();
     write_header(&mut bytes, b'*', 3);
-    write_bulk(&mut bytes, &vec![b'v'; value]);
+    write_bulk(&mut bytes, &vec![b'v'; value_len]);
     bytes.extend_from_slice(b"$3\r\nhit\r\n$-1\r\n");
     bencher
         .counter(BytesCount::from(bytes.len()))
         .bench_local(|| {
             let (mut reader, mut buf) = (ReplyReader::default(), BytesMut::from(&bytes[..]));
             let read = reader.next(&mut buf);
-            assert!(read.is_ok_and(|piece| piece.is_some()));
+            assert!(read.is_ok_and(|event| event.is_some()));
         });
 }
 
-/// A `Get` of this many bytes in total.
+/// A memcached `Get` request of `len` bytes in total.
 fn get(len: usize) -> Vec<u8> {
     let mut out = Vec::new();
     let key = vec![b'k'; len - memcached::HEADER].into();
@@ -71,7 +73,7 @@
     out
 }
 
-/// Sixteen pipelined requests in one buffer; copying them into the buffer is not measured.
+/// Decodes sixteen pipelined requests in one buffer; copying them into the buffer is not measured.
 #[divan::bench(args = [40, 100, 200])]
 fn read_16_memcached_gets(bencher: Bencher<'_, '_>, len: usize) {
     let bytes = get(len).repeat(16);
@@ -94,7 +96,7 @@
 }
 
 #[divan::bench(args = [200, 20_000])]
-fn read_a_memcached_answer(bencher: Bencher<'_, '_>, value: usize) {
+fn read_a_memcached_answer(bencher: Bencher<'_, '_>, value_len: usize) {
     let mut bytes = Vec::new();
     memcached::write_response(
         &mut bytes,
@@ -105,7 +107,7 @@
             cas: 0,
             extras: vec![0; 4].into(),
             key: Bytes::new(),
-            value: vec![b'v'; value].into(),
+            value: vec![b'v'; value_len].into(),
         },
     );
     bencher
@@ -114,7 +116,7 @@
             let (mut reader, mut buf) = (ResponseReader::default(), BytesMut::from(&bytes[..]));
             assert!(reader
                 .next(&mut buf, 1 << 20)
-                .is_ok_and(|piece| piece.is_some()));
+                .is_ok_and(|event| event.is_some()));
         });
 }
 
--- a/crates/codec/src/http1.rs
+++ b/crates/codec/src/http1.rs
@@ -1,52 +1,52 @@
-//! The parts of HTTP/1.1 (RFC 9112, RFC 9110) that the node needs: as a client of discovery, one response per
-//! connection; as a server for operators, one request per connection. Functions over the bytes received so far; the
-//! module holds no state.
+//! The subset of HTTP/1.1 (RFC 9112, RFC 9110) that the node uses. As a client of discovery, the node reads one response
+//! per connection; as a server for operators, it reads one request per connection. The functions parse all bytes received
+//! so far; the module holds no state.
 
 use thiserror::Error;
 
-/// Longest body of a response in bytes: a list of over ten thousand servers.
+/// Maximum length of a response body, in bytes; enough for a list of over ten thousand servers.
 pub const MAX_BODY: usize = 4 << 20;
-/// Longest request line or status line with its header section, in bytes.
+/// Maximum length of a request line or status line with its header section, in bytes.
 pub const MAX_HEAD: usize = 16 << 10;
-/// Most fields in a header section.
+/// Maximum number of fields in a header section.
 const MAX_HEADERS: usize = 64;
-/// The only status (RFC 9110, section 15.3.1) whose body is read.
+/// Status 200 (RFC 9110, section 15.3.1), the only one whose body is read.
 const STATUS_OK: u16 = 200;
 
-/// Why a response has no body that can be used.
+/// Why the body of a response cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum ResponseError {
-    /// The connection ended before the response did.
+    /// The connection was closed before the response was complete.
     Incomplete,
-    /// The bytes are no status line and header section, or these exceed [`MAX_HEAD`].
+    /// The bytes are not a status line and header section, or these exceed [`MAX_HEAD`].
     Malformed,
     /// The status is not 200.
     UnexpectedStatus,
-    /// `Content-Length` is no number.
+    /// `Content-Length` is not a number.
     InvalidContentLength,
-    /// A chunk's size or end is not as RFC 9112, section 7.1, requires.
+    /// The size line or the end of a chunk violates RFC 9112, section 7.1.
     InvalidChunk,
     /// The body exceeds [`MAX_BODY`].
     TooLong,
 }
 
 impl ResponseError {
-    /// The error as a text.
+    /// The message of the error.
     pub fn message(self) -> &'static str {
         match self {
-            ResponseError::Incomplete => "answer cut off",
-            ResponseError::Malformed => "answer is not HTTP",
+            ResponseError::Incomplete => "response incomplete",
+            ResponseError::Malformed => "response is not HTTP",
             ResponseError::UnexpectedStatus => "status is not 200",
-            ResponseError::InvalidContentLength => "bad content-length",
-            ResponseError::InvalidChunk => "bad chunk",
-            ResponseError::TooLong => "answer too long",
+            ResponseError::InvalidContentLength => "invalid Content-Length",
+            ResponseError::InvalidChunk => "invalid chunk",
+            ResponseError::TooLong => "response too long",
         }
     }
 }
 
 /// The value of a header field, without surrounding white space; `None` if it is absent or not UTF-8.
-fn field<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
+fn header_value<'a>(headers: &[httparse::Header<'a>], name: &str) -> Option<&'a str> {
     headers
         .iter()
         .find(|header| header.name.eq_ignore_ascii_case(name))
@@ -54,18 +54,23 @@
         .map(str::trim)
 }
 
-/// The body of a complete response with status 200, or `None` while more bytes are needed. The body's length follows
-/// from RFC 9112, section 6.3: by chunks, by `Content-Length`, or by the end of the connection. `ended`: the
-/// connection has ended, no more bytes will follow `buf`.
+/// Returns the body of a complete response with status 200, or `None` while more bytes are needed. The length of the body
+/// is determined according to RFC 9112, section 6.3: by chunks, by `Content-Length`, or by the end of the connection.
+/// `connection_closed` means that no more bytes will follow `buf`.
 ///
 /// # Errors
-/// Why the bytes are no such response, or cannot become one.
-pub fn response_body(buf: &[u8], ended: bool) -> Result<Option<Vec<u8>>, ResponseError> {
+/// The bytes are not the beginning of such a response, exceed a limit, or end before the response does.
+pub fn response_body(
+    buf: &[u8],
+    connection_closed: bool,
+) -> Result<Option<Vec<u8>>, ResponseError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
     let body_start = match head.parse(buf) {
-        Ok(httparse::Status::Complete(len)) => len,
-        Ok(httparse::Status::Partial) if ended => return Err(ResponseError::Incomplete),
+        Ok(httparse::Status::Complete(head_len)) => head_len,
+        Ok(httparse::Status::Partial) if connection_closed => {
+            return Err(ResponseError::Incomplete)
+        }
         Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD => return Ok(None),
         _ => return Err(ResponseError::Malformed),
     };
@@ -73,16 +78,16 @@
         return Err(ResponseError::UnexpectedStatus);
     }
     let content = &buf[body_start..];
-    let is_chunked = field(head.headers, "transfer-encoding")
+    let is_chunked = header_value(head.headers, "transfer-encoding")
         .is_some_and(|value| value.to_ascii_lowercase().ends_with("chunked"));
     if is_chunked {
         return match chunked_body(content)? {
-            None if ended => Err(ResponseError::Incomplete),
+            None if connection_closed => Err(ResponseError::Incomplete),
             body => Ok(body),
         };
     }
-    let Some(length) = field(head.headers, "content-length") else {
-        return Ok(ended.then(|| content.to_vec()));
+    let Some(length) = header_value(head.headers, "content-length") else {
+        return Ok(connection_closed.then(|| content.to_vec()));
     };
     let length: usize = length
         .parse()
@@ -90,12 +95,12 @@
     match content.get(..length) {
         _ if length > MAX_BODY => Err(ResponseError::TooLong),
         Some(body) => Ok(Some(body.to_vec())),
-        None if ended => Err(ResponseError::Incomplete),
+        None if connection_closed => Err(ResponseError::Incomplete),
         None => Ok(None),
     }
 }
 
-/// The body in the chunked transfer coding (RFC 9112, section 7.1), or `None` while its last chunk is missing.
+/// Decodes a body in the chunked transfer coding (RFC 9112, section 7.1). Returns `None` while its last chunk is missing.
 /// Trailers are not read.
 fn chunked_body(mut remaining: &[u8]) -> Result<Option<Vec<u8>>, ResponseError> {
     let mut body = Vec::new();
@@ -123,7 +128,7 @@
     }
 }
 
-/// What a request asks for (RFC 9112, section 3).
+/// The request line of a request (RFC 9112, section 3).
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestHead {
     /// The method, as it was received.
@@ -132,10 +137,10 @@
     pub path: String,
 }
 
-/// Why bytes are no request that can be served.
+/// Why a request cannot be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RequestError {
-    /// They are no request of HTTP/1.0 or 1.1, or the connection ended before the request did.
+    /// The bytes are not a request of HTTP/1.0 or 1.1, or the connection was closed before the request was complete.
     #[error("this is no HTTP/1.1 request")]
     Unreadable,
     /// The request line and header section exceed [`MAX_HEAD`], or there are too many fields.
@@ -143,12 +148,15 @@
     TooLong,
 }
 
-/// The head of a request, or `None` while more bytes are needed. `ended`: no more bytes will follow `buf`. A body is
-/// not looked at.
+/// Parses the request line and header section of a request. Returns `None` while more bytes are needed.
+/// `connection_closed` means that no more bytes will follow `buf`. A body is ignored.
 ///
 /// # Errors
-/// Why the bytes are no head of a request, or cannot become one.
-pub fn request_head(buf: &[u8], ended: bool) -> Result<Option<RequestHead>, RequestError> {
+/// The bytes are not the beginning of a request, exceed a limit, or end before the header section does.
+pub fn request_head(
+    buf: &[u8],
+    connection_closed: bool,
+) -> Result<Option<RequestHead>, RequestError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(buf) {
@@ -158,13 +166,14 @@
             path: head.path.unwrap_or_default().to_string(),
         })),
         Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => Err(RequestError::TooLong),
-        Ok(httparse::Status::Partial) if !ended => Ok(None),
+        Ok(httparse::Status::Partial) if !connection_closed => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(RequestError::TooLong),
         _ => Err(RequestError::Unreadable),
     }
 }
 
-/// A complete response with a plain text, which tells the client that the connection will be closed.
+/// Formats a complete response with a plain-text body and `Connection: close`. A status that is not listed has the reason
+/// phrase "Other".
 pub fn text_response(status: u16, text: &str) -> String {
     let reason = match status {
         200 => "OK",
--- a/crates/codec/src/http1_tests.rs
+++ b/crates/codec/src/http1_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn body_ends_by_length_by_chunks_or_with_the_connection() {
+fn body_length_follows_from_content_length_chunks_or_end_of_connection() {
     let length = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}";
     assert_eq!(response_body(length, false), Ok(Some(b"{}".to_vec())));
     let chunked =
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn request_is_read_from_any_split_and_invalid_ones_are_rejected() {
+fn incomplete_request_needs_more_bytes_and_invalid_requests_are_errors() {
     let input = b"POST /api/evacuate HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nhi";
     let head = RequestHead {
         method: "POST".to_string(),
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,7 +1,8 @@
-//! Codecs of the protocols that sloewick speaks: from bytes to typed messages and back.
+//! Codecs of the protocols of sloewick: they decode bytes into typed messages and encode messages into bytes.
 //!
-//! No sockets and no clock. Every reader is incremental and bounded by the constants beside it, and yields the same
-//! messages however the bytes are split into reads. No input makes a reader panic.
+//! The codecs use no sockets and read no clock. Every reader is incremental, its input is bounded by the constants of its
+//! module, and the messages that it returns do not depend on how the bytes are split into reads. Readers do not panic on
+//! any input.
 
 pub mod http1;
 pub mod memcached;
--- a/crates/codec/src/memcached.rs
+++ b/crates/codec/src/memcached.rs
@@ -1,11 +1,11 @@
-//! The memcached binary protocol, as its specification describes it ("Memcached Binary Protocol",
-//! draft-stone-memcache-binary, and the project's page `BinaryProtocolRevamped`, whose headings are cited here): a
-//! header of 24 bytes, then extras, key and value. Numbers are big-endian.
+//! The memcached binary protocol. It is specified in "Memcached Binary Protocol" (draft-stone-memcache-binary) and on the
+//! project's page `BinaryProtocolRevamped`; comments in this module cite the headings of the page. A packet consists of a
+//! header of 24 bytes, extras, key and value. Numbers are big-endian.
 //!
-//! Readers are incremental: they own the state of the packet that is being received, allocate nothing for what a peer
-//! merely announces, and yield the same packets however the bytes are split into reads. A request that cannot be
-//! served is delivered with a [`Request::fault`] as long as the position of the next one is known; otherwise the
-//! [`DecodeError`] holds the response to it.
+//! Readers are incremental: they hold the state of the packet that is being received, allocate memory only for bytes that
+//! have arrived, and return the same packets however the bytes are split into reads. A request that cannot be served is
+//! delivered with a [`Request::fault`] if the start of the next request is known; otherwise the reader fails with a
+//! [`DecodeError`], which holds the response to the request.
 
 mod error;
 mod opcode;
@@ -19,69 +19,70 @@
 
 use crate::resp2::{ByteBudget, MAX_BUFFERED_VALUE, MAX_VALUE};
 
-/// Bytes of a packet's header ("Packet Structure").
+/// Length of a packet header in bytes ("Packet Structure").
 pub const HEADER: usize = 24;
-/// Longest key in bytes; the limit is the protocol's.
+/// Maximum length of a key in bytes, as the protocol defines it.
 pub const MAX_KEY: usize = 250;
-/// Longest extras in bytes: those of `Increment`, the longest of the protocol.
+/// Maximum length of the extras in bytes. `Increment` has the longest extras of the protocol.
 pub const MAX_EXTRAS: usize = 20;
-/// Longest value in bytes that needs no reservation in the budget: it counts as a part of its connection.
+/// Maximum length of a value in bytes that is not reserved in the budget; it counts as memory of its connection.
 pub const MAX_UNRESERVED_VALUE: usize = 4096;
-/// Longest body in bytes that is accepted, or discarded rather than ending the connection: the longest value with what
-/// may precede it.
+/// Maximum length of a request body in bytes that is accepted or discarded: the longest value and room for
+/// the extras and key before it. A request with a longer body ends the connection.
 const MAX_BODY: usize = MAX_VALUE + 1024;
 
 /// The first byte of a request ("Magic Byte").
 const REQUEST_MAGIC: u8 = 0x80;
 /// The first byte of a response ("Magic Byte").
 const RESPONSE_MAGIC: u8 = 0x81;
-/// Raw bytes, the only data type ("Data Types").
+/// The data type of raw bytes, the only one that the protocol defines ("Data Types").
 const RAW_BYTES: u8 = 0;
 
 /// A request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// The opcode's code, which may be unknown ([`Opcode::from_code`]).
+    /// Code of the opcode, which may be unknown ([`Opcode::from_code`]).
     pub opcode: u8,
     /// The virtual bucket.
     pub vbucket: u16,
     /// An arbitrary number that is copied into the response.
     pub opaque: u32,
-    /// The version that the key must have; 0 for any.
+    /// The version that the key must have; 0 for any version.
     pub cas: u64,
-    /// Parameters of the opcode.
+    /// Parameters that depend on the opcode.
     pub extras: Bytes,
     /// The key.
     pub key: Bytes,
     /// The value.
     pub value: Bytes,
-    /// Bytes reserved in the budget for its value; the receiver of the request releases them.
+    /// Bytes reserved in the budget for the value; the receiver of the request has to release them.
     pub reserved: usize,
-    /// The status of the response to it, if it cannot be served: its parts have lengths that its opcode does not
-    /// allow, or there was no room for its value, which was discarded.
+    /// The error status of the response if the request cannot be served; otherwise `None`. The body has been discarded if
+    /// the header is invalid or the value exceeds the limit or the budget. It is present if only the opcode does not
+    /// allow the lengths of extras, key and value.
     pub fault: Option<Status>,
 }
 
 /// A response.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Response {
-    /// The opcode's code, which may be unknown ([`Opcode::from_code`]).
+    /// Code of the opcode, which may be unknown ([`Opcode::from_code`]).
     pub opcode: u8,
-    /// The status's code, which may be unknown ([`Status::from_code`]).
+    /// Code of the status, which may be unknown ([`Status::from_code`]).
     pub status: u16,
-    /// The number that the request had.
+    /// The opaque number of the request.
     pub opaque: u32,
     /// The version of the key.
     pub cas: u64,
-    /// Parameters of the opcode.
+    /// Parameters that depend on the opcode.
     pub extras: Bytes,
-    /// The key, if the opcode has one in its responses.
+    /// The key, if responses to the opcode have one.
     pub key: Bytes,
-    /// The value, or the text of an error.
+    /// The value, or the text of the error.
     pub value: Bytes,
 }
 
-/// A packet's header. Lengths are in bytes.
+/// The header of a packet. Lengths are in bytes.
 #[derive(Clone, Copy, Debug)]
 struct Header {
     magic: u8,
@@ -97,7 +98,7 @@
 }
 
 impl Header {
-    /// The header in these 24 bytes.
+    /// Parses the 24 bytes of a header.
     fn parse(mut bytes: &[u8]) -> Header {
         Header {
             magic: bytes.get_u8(),
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Appends the header, with room for the extras and the key behind it.
+    /// Appends the header, and reserves capacity for the extras and the key that follow it.
     fn write(&self, out: &mut Vec<u8>) {
         out.reserve(HEADER + self.key_len + self.extras_len);
         out.extend_from_slice(&[self.magic, self.opcode]);
@@ -124,7 +125,7 @@
         out.extend_from_slice(&self.cas.to_be_bytes());
     }
 
-    /// The value's length, which is what extras and key leave of the body; they must not exceed it.
+    /// The length of the value: that of the body without extras and key, which must not exceed the body.
     fn value_len(&self) -> usize {
         self.body_len - self.key_len - self.extras_len
     }
@@ -150,7 +151,7 @@
         request.reserved = reserved;
         if self.body_len > 0 {
             let mut body = buf.split_to(self.body_len).freeze();
-            // Each part that shares the body's memory counts a reference: empty parts are left as they are.
+            // Each slice of the body increments its reference count, so empty fields are not sliced.
             if self.extras_len > 0 {
                 request.extras = body.split_to(self.extras_len);
             }
@@ -163,16 +164,16 @@
                 request.value = body;
             }
         }
-        let has_allowed_lengths = Opcode::from_code(self.opcode).is_none_or(|opcode| {
+        let are_lengths_allowed = Opcode::from_code(self.opcode).is_none_or(|opcode| {
             opcode.allows_lengths(self.extras_len, self.key_len, request.value.len())
         });
-        if !has_allowed_lengths {
+        if !are_lengths_allowed {
             request.fault = Some(Status::InvalidArguments);
         }
         request
     }
 
-    /// An error with a response to the request that this header begins.
+    /// An error whose response answers the request with this header.
     fn error(&self, kind: DecodeErrorKind, status: Status) -> DecodeError {
         DecodeError {
             kind,
@@ -185,15 +186,15 @@
     }
 }
 
-/// What a [`RequestReader`] expects next.
+/// What a [`RequestReader`] reads next.
 #[derive(Debug, Default)]
 enum RequestState {
     /// A header.
     #[default]
     Header,
-    /// The body of a request, for which so many bytes are reserved in the budget.
+    /// The body of a request, with the number of bytes reserved for it in the budget.
     Body { header: Header, reserved: usize },
-    /// The remaining bytes of a body that is discarded, because of this fault.
+    /// The remaining bytes of a body that is discarded, and the fault of its request.
     Discarding {
         header: Header,
         remaining: usize,
@@ -201,19 +202,19 @@
     },
 }
 
-/// Reads requests from a client's bytes.
+/// Decodes the requests that a client sends.
 #[derive(Debug, Default)]
 pub struct RequestReader {
     state: RequestState,
 }
 
 impl RequestReader {
-    /// Whether the header of a request has been taken off the buffer, but not yet its body.
+    /// Whether the header of a request has been read, but not its whole body.
     pub fn is_mid_message(&self) -> bool {
         !matches!(self.state, RequestState::Header)
     }
 
-    /// Bytes that the incomplete request has reserved in the budget.
+    /// Bytes reserved in the budget for the incomplete request.
     pub fn reserved(&self) -> usize {
         match self.state {
             RequestState::Body { reserved, .. } => reserved,
@@ -221,11 +222,12 @@
         }
     }
 
-    /// Takes the next request off the buffer; `None` while it is incomplete. `max_value`: longest value that is
-    /// accepted, in bytes; a request with a longer one is delivered without it.
+    /// Removes the next request from the buffer and returns it; `None` while it is incomplete. `max_value` is the maximum
+    /// length of a value in bytes; a request with a longer value is delivered without its body.
     ///
     /// # Errors
-    /// Another magic byte, a body shorter than its parts, or one that is too long to be discarded.
+    /// The magic byte is not that of a request, the body is shorter than extras and key, or the body is too long to be
+    /// discarded.
     pub fn next(
         &mut self,
         buf: &mut BytesMut,
@@ -269,17 +271,17 @@
     }
 }
 
-/// Takes the header of a request off the buffer; `None` while it is incomplete. Bytes behind an error are not taken.
+/// Removes the header of a request from the buffer; `None` while it is incomplete. The buffer is unchanged on an error.
 fn take_request_header(buf: &mut BytesMut) -> Result<Option<Header>, DecodeError> {
     if buf.first().is_some_and(|magic| *magic != REQUEST_MAGIC) {
-        return Err(DecodeErrorKind::NoRequestMagic.into());
+        return Err(DecodeErrorKind::InvalidRequestMagic.into());
     }
     if buf.len() < HEADER {
         return Ok(None);
     }
     let header = Header::parse(&buf[..HEADER]);
     if !header.has_consistent_lengths() {
-        let kind = DecodeErrorKind::PartsExceedBody;
+        let kind = DecodeErrorKind::KeyAndExtrasExceedBody;
         return Err(header.error(kind, Status::InvalidArguments));
     }
     if header.body_len > MAX_BODY {
@@ -289,20 +291,21 @@
     Ok(Some(header))
 }
 
-/// Decides whether the body of a request is accepted, with its value reserved in the budget, or discarded.
+/// Decides whether the body of a request is accepted or discarded. A long value that is accepted is reserved in the
+/// budget.
 fn begin_body(header: Header, budget: &mut ByteBudget, max_value: usize) -> RequestState {
     let value_len = header.value_len();
-    let is_long_value = value_len > MAX_UNRESERVED_VALUE;
+    let needs_reservation = value_len > MAX_UNRESERVED_VALUE;
     let has_invalid_header =
         header.data_type != RAW_BYTES || header.key_len > MAX_KEY || header.extras_len > MAX_EXTRAS;
     let fault = if has_invalid_header {
         Status::InvalidArguments
     } else if value_len > max_value {
         Status::ValueTooLarge
-    } else if is_long_value && !budget.try_reserve(value_len) {
+    } else if needs_reservation && !budget.try_reserve(value_len) {
         Status::OutOfMemory
     } else {
-        let reserved = if is_long_value { value_len } else { 0 };
+        let reserved = if needs_reservation { value_len } else { 0 };
         return RequestState::Body { header, reserved };
     };
     RequestState::Discarding {
@@ -312,24 +315,24 @@
     }
 }
 
-/// What a [`ResponseReader`] has read.
+/// The result of reading from a [`ResponseReader`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum DecodeEvent {
-    /// A complete response; the value is empty if it has been streamed.
+    /// A complete response; its value is empty if it has been streamed.
     Complete(Response),
-    /// A response whose long value follows, and the value's length in bytes.
+    /// A response whose long value follows, and the length of the value in bytes.
     ValueStart(Response, usize),
     /// The next bytes of the long value.
     ValueChunk(Bytes),
 }
 
-/// What a [`ResponseReader`] expects next.
+/// What a [`ResponseReader`] reads next.
 #[derive(Debug, Default)]
 enum ResponseState {
     /// A header.
     #[default]
     Header,
-    /// The body of a response, or what precedes a long value.
+    /// The body of a response, or the extras and key that precede a long value.
     Body(Header),
     /// The remaining bytes of a long value.
     Value {
@@ -338,23 +341,24 @@
     },
 }
 
-/// Reads responses from a cache server's bytes. Values of more than [`MAX_BUFFERED_VALUE`] bytes are streamed.
+/// Decodes the responses that a cache server sends. Values of more than [`MAX_BUFFERED_VALUE`] bytes are streamed.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     state: ResponseState,
 }
 
 impl ResponseReader {
-    /// Whether a part of a response has been taken off the buffer.
+    /// Whether a part of a response has been read, but not all of it.
     pub fn is_mid_message(&self) -> bool {
         !matches!(self.state, ResponseState::Header)
     }
 
-    /// Takes the next event off the buffer; `None` until more bytes arrive. `max_body`: longest body that is accepted,
-    /// in bytes.
+    /// Removes the next event from the buffer and returns it; `None` until more bytes arrive. `max_body` is the maximum
+    /// length of a body in bytes.
     ///
     /// # Errors
-    /// Another magic byte, an unknown data type, a body shorter than its parts, or one longer than `max_body`.
+    /// The magic byte is not that of a response, the data type is unknown, or the body is shorter than extras and key or
+    /// longer than `max_body`.
     pub fn next(
         &mut self,
         buf: &mut BytesMut,
@@ -379,7 +383,7 @@
         Ok(self.read_body(header, buf))
     }
 
-    /// The response whose long value has been streamed completely.
+    /// Ends a response whose long value has been streamed completely.
     fn take_streamed_response(&mut self) -> Option<DecodeEvent> {
         match std::mem::take(&mut self.state) {
             ResponseState::Value { response, .. } => Some(DecodeEvent::Complete(response)),
@@ -387,19 +391,19 @@
         }
     }
 
-    /// Reads the body of a response, or what precedes a long value; `None` while that is incomplete.
+    /// Reads the body of a response, or the extras and key that precede a long value; `None` while these are incomplete.
     fn read_body(&mut self, header: Header, buf: &mut BytesMut) -> Option<DecodeEvent> {
         let value_len = header.value_len();
         let is_streamed = value_len > MAX_BUFFERED_VALUE;
-        let needed = if is_streamed {
+        let buffered_len = if is_streamed {
             header.key_len + header.extras_len
         } else {
             header.body_len
         };
-        if buf.len() < needed {
+        if buf.len() < buffered_len {
             return None;
         }
-        let mut body = buf.split_to(needed).freeze();
+        let mut body = buf.split_to(buffered_len).freeze();
         let extras = body.split_to(header.extras_len);
         let key = body.split_to(header.key_len);
         let response = Response {
@@ -423,20 +427,20 @@
     }
 }
 
-/// Takes the header of a response off the buffer; `None` while it is incomplete. Bytes behind an error are not taken.
+/// Removes the header of a response from the buffer; `None` while it is incomplete. The buffer is unchanged on an error.
 fn take_response_header(
     buf: &mut BytesMut,
     max_body: usize,
 ) -> Result<Option<Header>, DecodeErrorKind> {
     if buf.first().is_some_and(|magic| *magic != RESPONSE_MAGIC) {
-        return Err(DecodeErrorKind::NoResponseMagic);
+        return Err(DecodeErrorKind::InvalidResponseMagic);
     }
     if buf.len() < HEADER {
         return Ok(None);
     }
     let header = Header::parse(&buf[..HEADER]);
     if !header.has_consistent_lengths() {
-        return Err(DecodeErrorKind::PartsExceedBody);
+        return Err(DecodeErrorKind::KeyAndExtrasExceedBody);
     }
     if header.body_len > max_body {
         return Err(DecodeErrorKind::BodyTooLong);
@@ -448,8 +452,8 @@
     Ok(Some(header))
 }
 
-/// Appends a request up to its value, of `value_len` bytes, which the caller appends. Its key and extras must have
-/// lengths that the header can express.
+/// Appends the header, extras and key of a request; the caller appends the value of `value_len` bytes. The lengths of key
+/// and extras must fit their fields of the header (two bytes and one byte).
 pub fn write_request_header(out: &mut Vec<u8>, request: &Request, value_len: usize) {
     let header = Header {
         magic: REQUEST_MAGIC,
@@ -467,13 +471,13 @@
     out.extend_from_slice(&request.key);
 }
 
-/// Appends a request.
+/// Appends a request to `out`.
 pub fn write_request(out: &mut Vec<u8>, request: &Request) {
     write_request_header(out, request, request.value.len());
     out.extend_from_slice(&request.value);
 }
 
-/// Appends a response up to its value, of `value_len` bytes, which the caller appends.
+/// Appends the header, extras and key of a response; the caller appends the value of `value_len` bytes.
 pub fn write_response_header(out: &mut Vec<u8>, response: &Response, value_len: usize) {
     let header = Header {
         magic: RESPONSE_MAGIC,
@@ -491,18 +495,18 @@
     out.extend_from_slice(&response.key);
 }
 
-/// Appends a response.
+/// Appends a response to `out`.
 pub fn write_response(out: &mut Vec<u8>, response: &Response) {
     write_response_header(out, response, response.value.len());
     out.extend_from_slice(&response.value);
 }
 
-/// Appends a response that consists of a status and the text that memcached has for it.
+/// Appends a response that consists of a status and the text that memcached sends with it.
 pub fn write_status(out: &mut Vec<u8>, opcode: u8, opaque: u32, status: Status) {
     write_text_response(out, opcode, opaque, status, status.text());
 }
 
-/// Appends a response that consists of a status and a text for people.
+/// Appends a response that consists of a status and a human-readable text.
 pub fn write_text_response(out: &mut Vec<u8>, opcode: u8, opaque: u32, status: Status, text: &str) {
     let response = Response {
         opcode,
--- a/crates/codec/src/memcached/error.rs
+++ b/crates/codec/src/memcached/error.rs
@@ -1,19 +1,19 @@
-//! Errors of the readers, with the response that a client gets to a request that cannot be read.
+//! Decode errors, with the response to the request that could not be decoded.
 
 use thiserror::Error;
 
 use super::Status;
 
-/// Why bytes are no packet that can be read.
+/// Why a packet cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum DecodeErrorKind {
     /// The first byte is not that of a request.
-    NoRequestMagic,
+    InvalidRequestMagic,
     /// The first byte is not that of a response.
-    NoResponseMagic,
+    InvalidResponseMagic,
     /// Extras and key are longer than the body that holds them.
-    PartsExceedBody,
+    KeyAndExtrasExceedBody,
     /// The body exceeds the limit.
     BodyTooLong,
     /// The data type is unknown.
@@ -21,37 +21,36 @@
 }
 
 impl DecodeErrorKind {
-    /// The error as a text, as it is sent to the peer.
+    /// The message of the error, as it is sent to the peer.
     pub fn message(self) -> &'static str {
         match self {
-            DecodeErrorKind::NoRequestMagic => "magic is not 0x80",
-            DecodeErrorKind::NoResponseMagic => "magic is not 0x81",
-            DecodeErrorKind::PartsExceedBody => "key and extras are longer than the body",
+            DecodeErrorKind::InvalidRequestMagic => "magic is not 0x80",
+            DecodeErrorKind::InvalidResponseMagic => "magic is not 0x81",
+            DecodeErrorKind::KeyAndExtrasExceedBody => "key and extras are longer than the body",
             DecodeErrorKind::BodyTooLong => "body is too long",
             DecodeErrorKind::UnknownDataType => "data type is not raw bytes",
         }
     }
 }
 
-/// The response to a request that could not be read completely.
+/// The response to a request whose header was decoded but whose body cannot be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// The opcode's code in the request.
+    /// Code of the opcode in the request.
     pub opcode: u8,
-    /// The number that the request had.
+    /// The opaque number of the request.
     pub opaque: u32,
     /// The status of the response.
     pub status: Status,
 }
 
-/// The bytes cannot be read, and the position of the next packet is unknown: the connection cannot be used any
-/// further.
+/// The bytes cannot be decoded. The start of the next packet is unknown, so the connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{kind}")]
 pub struct DecodeError {
-    /// What cannot be read.
+    /// The reason.
     pub kind: DecodeErrorKind,
-    /// The response to the request, if its header could be read.
+    /// The response to the request; `None` if its header could not be decoded, or if the packet is a response.
     pub response: Option<ErrorResponse>,
 }
 
--- a/crates/codec/src/memcached/opcode.rs
+++ b/crates/codec/src/memcached/opcode.rs
@@ -1,8 +1,9 @@
-//! Opcodes: what requests ask for, which responses they suppress, and which lengths their parts may have.
+//! Opcodes: the operations of requests, the responses that they suppress, and the allowed lengths of extras, key and
+//! value.
 
 use super::Status;
 
-/// What a request asks for ("Command Opcodes"; `Verbosity` to `GatQ` and SASL are additions of memcached).
+/// The operation of a request ("Command Opcodes"; `Verbosity` to `GatQ` and the SASL opcodes are additions of memcached).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u8)]
 pub enum Opcode {
@@ -10,35 +11,35 @@
     Get = 0x00,
     /// Stores a value.
     Set = 0x01,
-    /// Stores a value if the key has none.
+    /// Stores a value if the key does not exist.
     Add = 0x02,
-    /// Stores a value if the key has one.
+    /// Stores a value if the key exists.
     Replace = 0x03,
     /// Removes a key.
     Delete = 0x04,
-    /// Adds to a number.
+    /// Adds to a numeric value.
     Increment = 0x05,
-    /// Subtracts from a number.
+    /// Subtracts from a numeric value.
     Decrement = 0x06,
     /// Closes the connection.
     Quit = 0x07,
-    /// Removes all keys, now or at a time.
+    /// Removes all keys, immediately or at a given time.
     Flush = 0x08,
     /// `Get`, without a response to a miss.
     GetQ = 0x09,
     /// Does nothing; its response follows those of all requests before it.
     Noop = 0x0a,
-    /// Asks for the version of the server.
+    /// Requests the version of the server.
     Version = 0x0b,
     /// `Get`, with the key in the response.
     GetK = 0x0c,
     /// `GetK`, without a response to a miss.
     GetKQ = 0x0d,
-    /// Adds bytes at the end of a value.
+    /// Appends bytes to a value.
     Append = 0x0e,
-    /// Adds bytes at the beginning of a value.
+    /// Prepends bytes to a value.
     Prepend = 0x0f,
-    /// Asks for statistics.
+    /// Requests statistics.
     Stat = 0x10,
     /// `Set`, without a response to a success.
     SetQ = 0x11,
@@ -68,9 +69,9 @@
     Gat = 0x1d,
     /// `Gat`, without a response to a miss.
     GatQ = 0x1e,
-    /// Lists the mechanisms of authentication.
+    /// Lists the authentication mechanisms.
     SaslList = 0x20,
-    /// Begins an authentication.
+    /// Starts an authentication.
     SaslAuth = 0x21,
     /// Continues an authentication.
     SaslStep = 0x22,
@@ -117,7 +118,7 @@
 
     /// The opcode with this code; `None` if it is unknown.
     pub fn from_code(code: u8) -> Option<Opcode> {
-        // A table, so that the time does not depend on the opcode.
+        // A lookup table, so that the time does not depend on the opcode.
         const TABLE: [Option<Opcode>; 64] = {
             let mut table = [None; 64];
             let mut i = 0;
@@ -130,7 +131,7 @@
         TABLE.get(usize::from(code)).copied().flatten()
     }
 
-    /// The opcode that does the same and has a response to every outcome; itself if it is not quiet.
+    /// The opcode of the same operation that is always answered; the opcode itself if it is not quiet.
     #[must_use]
     pub fn without_quiet(self) -> Opcode {
         match self {
@@ -156,8 +157,8 @@
         self.without_quiet() != self
     }
 
-    /// Whether a request with this opcode gets no response if it ends with this status: quiet reads suppress a miss,
-    /// other quiet opcodes a success.
+    /// Whether no response is sent to a request with this opcode and status: quiet reads suppress the response to a miss,
+    /// other quiet opcodes the response to a success.
     pub fn suppresses_response(self, status: Status) -> bool {
         match self {
             Opcode::GetQ | Opcode::GetKQ | Opcode::GatQ => status == Status::KeyNotFound,
@@ -165,9 +166,9 @@
         }
     }
 
-    /// Whether the extras, key and value of a request with this opcode have lengths that the protocol allows.
+    /// Whether the protocol allows these lengths of extras, key and value, in bytes, for a request with this opcode.
     pub(super) fn allows_lengths(self, extras: usize, key: usize, value: usize) -> bool {
-        use Length::{Any, Exactly, NonZero, Zero};
+        use LengthRule::{Any, Exactly, NonZero, Zero};
         let (extras_rule, key_rule) = match self.without_quiet() {
             Opcode::Get | Opcode::GetK | Opcode::Delete => (Zero, NonZero),
             Opcode::Set | Opcode::Add | Opcode::Replace => (Exactly(8), NonZero),
@@ -199,22 +200,22 @@
     }
 }
 
-/// The lengths that a part of a request may have, in bytes.
+/// The allowed lengths of the extras or the key of a request, in bytes.
 #[derive(Clone, Copy)]
-enum Length {
+enum LengthRule {
     Zero,
     NonZero,
     Exactly(usize),
     Any,
 }
 
-impl Length {
+impl LengthRule {
     fn allows(self, len: usize) -> bool {
         match self {
-            Length::Zero => len == 0,
-            Length::NonZero => len > 0,
-            Length::Exactly(required) => len == required,
-            Length::Any => true,
+            LengthRule::Zero => len == 0,
+            LengthRule::NonZero => len > 0,
+            LengthRule::Exactly(required) => len == required,
+            LengthRule::Any => true,
         }
     }
 }
--- a/crates/codec/src/memcached/status.rs
+++ b/crates/codec/src/memcached/status.rs
@@ -1,4 +1,4 @@
-//! Statuses of responses, with their texts.
+//! Response statuses and their texts.
 
 /// How a request ended ("Response Status").
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -6,19 +6,19 @@
 pub enum Status {
     /// The request has succeeded.
     Ok = 0x0000,
-    /// There is no such key.
+    /// The key does not exist.
     KeyNotFound = 0x0001,
-    /// The key has another version than the request requires.
+    /// The key has a version (CAS) other than the request requires.
     KeyExists = 0x0002,
     /// The value is too long.
     ValueTooLarge = 0x0003,
-    /// The parts of the request do not fit its opcode.
+    /// The opcode does not allow the extras, key or value of the request.
     InvalidArguments = 0x0004,
-    /// The condition for storing the value does not hold.
+    /// The condition for storing the value is not met.
     NotStored = 0x0005,
-    /// The value is no number.
+    /// The value is not a number.
     NotNumeric = 0x0006,
-    /// Another server has this vbucket.
+    /// Another server is responsible for the vbucket.
     VbucketElsewhere = 0x0007,
     /// The authentication has failed.
     AuthError = 0x0008,
@@ -26,15 +26,15 @@
     AuthContinue = 0x0009,
     /// The server does not know the opcode.
     UnknownCommand = 0x0081,
-    /// The server has no memory for the request.
+    /// The server has too little memory for the request.
     OutOfMemory = 0x0082,
     /// The server does not support the opcode.
     NotSupported = 0x0083,
-    /// The server has failed.
+    /// The server failed to execute the request.
     InternalError = 0x0084,
     /// The server is overloaded; the request has not run.
     Busy = 0x0085,
-    /// The server cannot serve the request at present.
+    /// The server is temporarily unable to serve the request.
     TemporaryFailure = 0x0086,
 }
 
--- a/crates/codec/src/memcached_tests.rs
+++ b/crates/codec/src/memcached_tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 use proptest::prelude::*;
 
-/// Longest value that the readers of these tests accept.
+/// Maximum length of a value that the readers accept in these tests, in bytes.
 const MAX_TEST_VALUE: usize = 64 << 10;
 
-/// The parts of `input` between these positions, each taken modulo its length.
+/// Splits `input` at the positions `cuts`, each taken modulo the length of the input plus one.
 fn split<'a>(input: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut at: Vec<usize> = cuts.iter().map(|c| c % (input.len() + 1)).collect();
     at.extend([0, input.len()]);
@@ -12,11 +12,12 @@
     at.windows(2).map(|w| &input[w[0]..w[1]]).collect()
 }
 
+/// Decodes the requests in `input`, which arrives in fragments. `bytes` is the size of the budget.
 fn requests(input: &[u8], cuts: &[usize], bytes: usize) -> (Vec<Request>, Option<DecodeError>) {
     let (mut reader, mut buf, mut out) = (RequestReader::default(), BytesMut::new(), Vec::new());
     let mut budget = ByteBudget::new(bytes);
-    for part in split(input, cuts) {
-        buf.extend_from_slice(part);
+    for fragment in split(input, cuts) {
+        buf.extend_from_slice(fragment);
         loop {
             match reader.next(&mut buf, &mut budget, MAX_TEST_VALUE) {
                 Ok(Some(request)) => out.push(request),
@@ -28,14 +29,14 @@
     (out, None)
 }
 
+/// Decodes the responses in `input`, which arrives in fragments. The chunks of a long value are joined.
 fn responses(input: &[u8], cuts: &[usize]) -> (Vec<Response>, Option<DecodeError>) {
     let (mut reader, mut buf, mut out) = (ResponseReader::default(), BytesMut::new(), Vec::new());
     let mut body = Vec::new();
-    for part in split(input, cuts) {
-        buf.extend_from_slice(part);
+    for fragment in split(input, cuts) {
+        buf.extend_from_slice(fragment);
         loop {
             match reader.next(&mut buf, MAX_TEST_VALUE * 4) {
-                // The chunks of a long value are joined.
                 Ok(Some(DecodeEvent::Complete(response))) if body.is_empty() => out.push(response),
                 Ok(Some(DecodeEvent::Complete(mut response))) => {
                     response.value = std::mem::take(&mut body).into();
@@ -51,9 +52,9 @@
     (out, None)
 }
 
-/// The examples on the protocol's page, as bytes.
+/// The packets are the examples in `BinaryProtocolRevamped`.
 #[test]
-fn packets_of_the_specification_are_read_and_written() {
+fn example_packets_of_the_specification_are_decoded_and_encoded() {
     let get = b"\x80\x00\x00\x05\x00\x00\x00\x00\x00\x00\x00\x05\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00Hello";
     let (got, error) = requests(get, &[], 0);
     assert_eq!((got.len(), error), (1, None));
@@ -112,9 +113,9 @@
         assert_eq!((&got[0], got[1].opaque), (&long, 4));
     }
     let (mut reader, mut buf) = (ResponseReader::default(), BytesMut::from(&input[..]));
-    let begin = reader.next(&mut buf, MAX_TEST_VALUE * 4).unwrap().unwrap();
+    let first_event = reader.next(&mut buf, MAX_TEST_VALUE * 4).unwrap().unwrap();
     assert!(
-        matches!(begin, DecodeEvent::ValueStart(r, len) if r.opaque == 3 && len == MAX_BUFFERED_VALUE + 1)
+        matches!(first_event, DecodeEvent::ValueStart(r, len) if r.opaque == 3 && len == MAX_BUFFERED_VALUE + 1)
     );
     assert!(reader.is_mid_message());
 }
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn inconsistent_lengths_are_errors_and_take_no_memory() {
+fn inconsistent_lengths_are_errors_and_announced_lengths_allocate_no_memory() {
     let cases = [
         (set_header(10, 8, 17), Some(Status::InvalidArguments)),
         (set_header(u16::MAX, 255, 3), Some(Status::InvalidArguments)),
@@ -161,7 +162,7 @@
 }
 
 #[test]
-fn value_without_room_is_discarded_and_the_next_request_read() {
+fn value_beyond_a_limit_is_discarded_and_the_next_request_is_decoded() {
     let long = |len: usize| {
         let request = Request {
             opcode: Opcode::Set as u8,
@@ -221,11 +222,11 @@
 }
 
 #[test]
-fn parts_that_an_opcode_does_not_allow_are_a_fault() {
+fn lengths_that_an_opcode_does_not_allow_are_a_fault() {
     let make = |opcode: Opcode, extras: usize, key: usize, value: usize| {
         let mut out = Vec::new();
-        let part = |len: usize| Bytes::from(vec![b'x'; len]);
-        let (extras, key, value) = (part(extras), part(key), part(value));
+        let bytes = |len: usize| Bytes::from(vec![b'x'; len]);
+        let (extras, key, value) = (bytes(extras), bytes(key), bytes(value));
         write_request(
             &mut out,
             &Request {
@@ -258,8 +259,8 @@
         assert_eq!(Opcode::from_code(opcode as u8), Some(opcode));
         assert!(!opcode.without_quiet().is_quiet());
         for status in Status::ALL {
-            let read = matches!(opcode, Opcode::GetQ | Opcode::GetKQ | Opcode::GatQ);
-            let is_suppressed = if read {
+            let is_quiet_read = matches!(opcode, Opcode::GetQ | Opcode::GetKQ | Opcode::GatQ);
+            let is_suppressed = if is_quiet_read {
                 status == Status::KeyNotFound
             } else {
                 status == Status::Ok
@@ -284,7 +285,7 @@
 
 proptest! {
     #[test]
-    fn requests_are_read_as_written_however_they_are_split(
+    fn decoded_requests_equal_the_encoded_ones_however_bytes_are_split(
         list in prop::collection::vec((any::<u8>(), any::<u16>(), any::<u32>(), any::<u64>(),
             any_bytes(MAX_EXTRAS + 1), any_bytes(MAX_KEY + 1), any_bytes(300)), 1..6),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
@@ -299,12 +300,12 @@
         let (whole, error) = requests(&input, &[], 0);
         prop_assert_eq!(error, None);
         prop_assert_eq!(&requests(&input, &cuts, 0).0, &whole);
-        let plain: Vec<Request> = whole.into_iter().map(|r| Request { fault: None, ..r }).collect();
-        prop_assert_eq!(plain, sent);
+        let without_faults: Vec<Request> = whole.into_iter().map(|r| Request { fault: None, ..r }).collect();
+        prop_assert_eq!(without_faults, sent);
     }
 
     #[test]
-    fn responses_are_read_as_written_however_they_are_split(
+    fn decoded_responses_equal_the_encoded_ones_however_bytes_are_split(
         list in prop::collection::vec((any::<u8>(), any::<u16>(), any::<u32>(), any::<u64>(),
             any_bytes(30), any_bytes(300), any_bytes(300)), 1..6),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
@@ -320,17 +321,17 @@
     }
 
     #[test]
-    fn arbitrary_bytes_never_panic_and_are_read_alike_however_split(
+    fn arbitrary_bytes_never_panic_and_splitting_them_changes_nothing(
         mut input in prop::collection::vec(any::<u8>(), 0..200),
-        small in any::<bool>(),
+        has_small_lengths in any::<bool>(),
         cuts in prop::collection::vec(any::<usize>(), 0..5),
     ) {
         for (magic, at) in [(REQUEST_MAGIC, 0), (RESPONSE_MAGIC, 0)] {
             if let Some(first) = input.get_mut(at) {
                 *first = magic;
             }
-            if small {
-                // Small lengths, which may be consistent.
+            if has_small_lengths {
+                // Clears the high bytes of the body length, so that it may be consistent with the other lengths.
                 input.iter_mut().skip(8).take(3).for_each(|b| *b = 0);
             }
             prop_assert_eq!(requests(&input, &[], 50), requests(&input, &cuts, 50));
--- a/crates/codec/src/resp2.rs
+++ b/crates/codec/src/resp2.rs
@@ -1,40 +1,42 @@
 //! RESP2, the Redis serialization protocol (Redis documentation, "Redis serialization protocol specification"):
 //! readers for commands and replies, and writers for bulk strings and headers.
 //!
-//! Readers are incremental: they own the state of the message that is being received, allocate nothing for what a
-//! peer merely announces, scan no byte twice, and yield the same messages however the bytes are split into reads.
-//! Values of up to [`MAX_BUFFERED_VALUE`] bytes are delivered at once; longer ones, in replies, as they arrive.
+//! Readers are incremental: they hold the state of the message that is being received, allocate memory only for bytes
+//! that have arrived, scan no byte twice for the end of a line, and return the same messages however the bytes are split
+//! into reads. Values of up to [`MAX_BUFFERED_VALUE`] bytes are delivered at once; longer ones in replies are delivered as
+//! they arrive.
 
 use std::io::Write;
 
 use bytes::{Buf, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Longest value in bytes (4 MiB); an announcement of a longer one is an error.
+/// Maximum length of a value in bytes (4 MiB). A header that announces a longer one is an error.
 pub const MAX_VALUE: usize = 4 << 20;
-/// Longest value in a reply that is delivered at once, in bytes. Longer ones are streamed.
+/// Maximum length of a value in a reply that is delivered at once, in bytes. Longer values are streamed.
 pub const MAX_BUFFERED_VALUE: usize = 64 << 10;
-/// Longest argument that is not a value, in bytes: a name, key, id or list of fields.
+/// Maximum length of an argument that is not a value, in bytes: a name, key, id or list of fields.
 pub const MAX_ARGUMENT: usize = 4096;
-/// Longest line in bytes: a header, a simple string or an error. An error with a load report is far shorter.
+/// Maximum length of a line in bytes: a header, a simple string or an error. An error with a load report is far shorter.
 const MAX_LINE: usize = 1024;
-/// Most words of a command: `C.SET` has five; client libraries greet with a few more.
+/// Maximum number of words of a command. `C.SET` has five; the commands that client libraries send at the start of a
+/// connection have a few more.
 const MAX_WORDS: usize = 16;
-/// Most elements of a reply's array; the protocol of the cache servers has three.
+/// Maximum number of elements of an array in a reply. Replies of cache servers have three.
 const MAX_ELEMENTS: usize = 8;
-/// Position of the one word that may be longer than [`MAX_ARGUMENT`]: the value of `C.SET`.
+/// Index of the only word that may be longer than [`MAX_ARGUMENT`]: the value of `C.SET`.
 const VALUE_POSITION: usize = 4;
-/// The end of a line and of a bulk string.
+/// Terminator of a line and of a bulk string.
 const CRLF: &[u8; 2] = b"\r\n";
 
-/// The bytes are not RESP2 or exceed a limit. The position of the next message is unknown: the connection cannot be
-/// used any further.
+/// The bytes are not RESP2 or exceed a limit. The start of the next message is unknown, so the connection has to be
+/// closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("{}", self.message())]
 pub enum DecodeError {
     /// A line is longer than the limit.
     LineTooLong,
-    /// A length is no number, or not within its bounds.
+    /// A length is not a number, or out of bounds.
     InvalidLength,
     /// A bulk string is not followed by CRLF.
     MissingBulkEnd,
@@ -42,20 +44,20 @@
     ExpectedArray,
     /// A command has too many words, or a negative number of them.
     InvalidWordCount,
-    /// A word of a command is no bulk string.
+    /// A word of a command is not a bulk string.
     ExpectedBulkString,
-    /// A reply has an empty line where an element should begin.
+    /// A reply has an empty line in place of an element.
     EmptyLine,
-    /// A value that would have to be streamed is not the first element of a reply's array.
+    /// A bulk string that is long enough to be streamed is not the first element of an array in a reply.
     MisplacedLongString,
-    /// A reply's array has too many elements, or none.
+    /// An array in a reply has too many elements, or none.
     InvalidElementCount,
-    /// An element of a reply has no type that is known, or is an array within an array.
+    /// An element of a reply has an unknown type, or is a nested array.
     UnknownType,
 }
 
 impl DecodeError {
-    /// The error as a text, as it is sent to the peer.
+    /// The message of the error, as it is sent to the peer.
     pub fn message(self) -> &'static str {
         match self {
             DecodeError::LineTooLong => "line too long",
@@ -72,20 +74,20 @@
     }
 }
 
-/// A bound on the memory that long values of all connections take together. A value is reserved when it is announced,
-/// before its bytes arrive, and counts until it is released.
+/// Limits the total memory of the long values of all connections. The length of a value is reserved when its header
+/// arrives, before its bytes do, and remains reserved until it is released.
 #[derive(Debug)]
 pub struct ByteBudget {
     available: usize,
 }
 
 impl ByteBudget {
-    /// A budget of this many bytes.
+    /// Creates a budget of this many bytes.
     pub fn new(bytes: usize) -> ByteBudget {
         ByteBudget { available: bytes }
     }
 
-    /// Reserves bytes. Returns `false`, and reserves nothing, if fewer are available.
+    /// Reserves bytes. Returns `false` and reserves nothing if fewer bytes are available.
     pub fn try_reserve(&mut self, bytes: usize) -> bool {
         let Some(available) = self.available.checked_sub(bytes) else {
             return false;
@@ -100,10 +102,10 @@
     }
 }
 
-/// Takes a line off the buffer, without its end; `None` while it is incomplete. `scanned` remembers how much of an
-/// incomplete line has been searched for its end.
+/// Removes a line from the buffer and returns it without its terminator; `None` while it is incomplete. `scanned` is the
+/// number of bytes of an incomplete line that have been searched for the terminator.
 fn take_line(buf: &mut BytesMut, scanned: &mut usize) -> Result<Option<BytesMut>, DecodeError> {
-    // The last byte that was searched may be the first one of the line's end.
+    // The last byte that was searched may be the first byte of the terminator.
     let from = scanned.saturating_sub(1).min(buf.len());
     let end = buf[from..]
         .windows(CRLF.len())
@@ -127,13 +129,13 @@
 fn parse_number(digits: &[u8]) -> Result<i64, DecodeError> {
     std::str::from_utf8(digits)
         .ok()
-        // Rust's parser accepts a plus sign, the protocol has none in lengths.
+        // Rust's parser accepts a plus sign, which the protocol does not allow in lengths.
         .filter(|text| !text.starts_with('+'))
         .and_then(|text| text.parse().ok())
         .ok_or(DecodeError::InvalidLength)
 }
 
-/// Takes the content of a bulk string off the buffer; `None` while it is incomplete.
+/// Removes the content of a bulk string from the buffer and returns it; `None` while it is incomplete.
 fn take_bulk(buf: &mut BytesMut, len: usize) -> Result<Option<Bytes>, DecodeError> {
     if buf.len() < len + CRLF.len() {
         return Ok(None);
@@ -151,9 +153,9 @@
 pub struct Command {
     /// The command's name and its arguments.
     pub words: Vec<Bytes>,
-    /// Bytes reserved in the budget for its value; the receiver of the command releases them.
+    /// Bytes reserved in the budget for the value; the receiver of the command has to release them.
     pub reserved: usize,
-    /// The budget had no room for its value, which was discarded: that word is empty.
+    /// Whether the value was discarded because the budget had too few bytes available; the word is empty then.
     pub dropped: bool,
 }
 
@@ -165,37 +167,37 @@
     Header,
     /// The content of a word, of this many bytes.
     Content(usize),
-    /// The remaining bytes of a word that is discarded, its end included.
+    /// The remaining bytes of a word that is discarded, including its terminator.
     Discarding(usize),
 }
 
-/// Reads commands from a client's bytes.
+/// Decodes the commands that a client sends.
 #[derive(Debug, Default)]
 pub struct CommandReader {
-    /// Bytes of the buffer that have been searched for the end of a line.
+    /// Number of bytes of the buffer that have been searched for the end of a line.
     scanned: usize,
-    /// Words that the current command still lacks; 0 between commands.
+    /// Number of words that the current command still lacks; 0 between commands.
     missing_words: usize,
     state: WordState,
-    /// The words received so far.
+    /// The current command, with the words received so far.
     command: Command,
 }
 
 impl CommandReader {
-    /// Whether the header of a command has been read, but not yet all its words.
+    /// Whether the header of a command has been read, but not all of its words.
     pub fn is_mid_message(&self) -> bool {
         self.missing_words > 0
     }
 
-    /// Bytes that the incomplete command has reserved in the budget.
+    /// Bytes reserved in the budget for the incomplete command.
     pub fn reserved(&self) -> usize {
         self.command.reserved
     }
 
-    /// Takes the next command off the buffer; `None` while it is incomplete. Empty arrays are skipped.
+    /// Removes the next command from the buffer and returns it; `None` while it is incomplete. Empty arrays are skipped.
     ///
     /// # Errors
-    /// The bytes are no command, or exceed a limit.
+    /// The bytes are not a command, or exceed a limit.
     pub fn next(
         &mut self,
         buf: &mut BytesMut,
@@ -247,7 +249,7 @@
         Ok(true)
     }
 
-    /// Begins a word by its header. A long one is discarded if the budget has no room for it.
+    /// Begins the word that this header announces. A long word is discarded if the budget has too few bytes available.
     fn begin_word(&mut self, line: &[u8], budget: &mut ByteBudget) -> Result<(), DecodeError> {
         let len = match line.split_first() {
             Some((b'$', digits)) => parse_number(digits)?,
@@ -287,12 +289,12 @@
         .ok_or(DecodeError::InvalidWordCount)
 }
 
-/// A value of RESP2 that is no array.
+/// A RESP2 value other than an array.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Element {
     /// A simple string.
     Simple(Bytes),
-    /// A simple error: its kind and message.
+    /// A simple error: its kind and message, without the leading hyphen.
     Error(Bytes),
     /// An integer.
     Integer(i64),
@@ -305,18 +307,18 @@
 /// A cache server's reply.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A reply that is no array.
+    /// A reply other than an array.
     Single(Element),
-    /// An array. Its first element is [`Element::Null`] if that was a long value, which has been streamed.
+    /// An array. Its first element is [`Element::Null`] if it was a long value, which has been streamed.
     Array(Vec<Element>),
 }
 
-/// What a [`ReplyReader`] has read.
+/// The result of reading from a [`ReplyReader`].
 #[derive(Debug, PartialEq)]
 pub enum DecodeEvent {
     /// A complete reply.
     Complete(Reply),
-    /// The beginning of a long value of this many bytes.
+    /// A long value of this many bytes begins.
     ValueStart(usize),
     /// The next bytes of the long value.
     ValueChunk(Bytes),
@@ -332,51 +334,51 @@
     Bulk(usize),
     /// The remaining bytes of a long value.
     Value(usize),
-    /// The CRLF behind a long value.
+    /// The CRLF after a long value.
     ValueEnd,
 }
 
 /// The result of one step of a [`ReplyReader`].
-enum Step {
+enum ReplyStep {
     /// Nothing can be read until more bytes arrive.
     NeedMoreBytes,
-    /// A header has been read; the reader's state says what follows it.
+    /// A header has been read; the state of the reader tells what follows.
     Header,
     /// An element is complete.
     Element(Element),
-    /// A part of a long value, or its beginning.
+    /// The beginning or the next bytes of a long value.
     Value(DecodeEvent),
 }
 
-/// Reads replies from a cache server's bytes.
+/// Decodes the replies that a cache server sends.
 #[derive(Debug, Default)]
 pub struct ReplyReader {
-    /// Bytes of the buffer that have been searched for the end of a line.
+    /// Number of bytes of the buffer that have been searched for the end of a line.
     scanned: usize,
     state: ReplyState,
-    /// Elements that the current array still lacks; `None` outside an array.
+    /// Number of elements that the current array still lacks; `None` outside an array.
     missing_elements: Option<usize>,
     /// The elements of the current array.
     elements: Vec<Element>,
 }
 
 impl ReplyReader {
-    /// Whether a part of a reply has been taken off the buffer.
+    /// Whether a part of a reply has been read, but not all of it.
     pub fn is_mid_message(&self) -> bool {
         self.missing_elements.is_some() || self.state != ReplyState::Line
     }
 
-    /// Takes the next event off the buffer; `None` until more bytes arrive.
+    /// Removes the next event from the buffer and returns it; `None` until more bytes arrive.
     ///
     /// # Errors
-    /// The bytes are no reply that a cache server sends, or exceed a limit.
+    /// The bytes are not a reply of a cache server, or exceed a limit.
     pub fn next(&mut self, buf: &mut BytesMut) -> Result<Option<DecodeEvent>, DecodeError> {
         loop {
-            match self.step(buf)? {
-                Step::NeedMoreBytes => return Ok(None),
-                Step::Header => {}
-                Step::Value(event) => return Ok(Some(event)),
-                Step::Element(element) => {
+            match self.read_step(buf)? {
+                ReplyStep::NeedMoreBytes => return Ok(None),
+                ReplyStep::Header => {}
+                ReplyStep::Value(event) => return Ok(Some(event)),
+                ReplyStep::Element(element) => {
                     self.state = ReplyState::Line;
                     if let Some(reply) = self.add_element(element) {
                         return Ok(Some(DecodeEvent::Complete(reply)));
@@ -386,19 +388,19 @@
         }
     }
 
-    fn step(&mut self, buf: &mut BytesMut) -> Result<Step, DecodeError> {
+    fn read_step(&mut self, buf: &mut BytesMut) -> Result<ReplyStep, DecodeError> {
         match self.state {
             ReplyState::Line => match take_line(buf, &mut self.scanned)? {
                 Some(line) => self.read_line(&line.freeze()),
-                None => Ok(Step::NeedMoreBytes),
+                None => Ok(ReplyStep::NeedMoreBytes),
             },
             ReplyState::Bulk(len) => {
                 let bulk = take_bulk(buf, len)?;
-                Ok(bulk.map_or(Step::NeedMoreBytes, |bytes| {
-                    Step::Element(Element::Bulk(bytes))
+                Ok(bulk.map_or(ReplyStep::NeedMoreBytes, |bytes| {
+                    ReplyStep::Element(Element::Bulk(bytes))
                 }))
             }
-            ReplyState::Value(_) if buf.is_empty() => Ok(Step::NeedMoreBytes),
+            ReplyState::Value(_) if buf.is_empty() => Ok(ReplyStep::NeedMoreBytes),
             ReplyState::Value(remaining) => {
                 debug_assert!(remaining > 0);
                 let bytes = buf.split_to(remaining.min(buf.len())).freeze();
@@ -406,16 +408,19 @@
                     0 => ReplyState::ValueEnd,
                     remaining => ReplyState::Value(remaining),
                 };
-                Ok(Step::Value(DecodeEvent::ValueChunk(bytes)))
+                Ok(ReplyStep::Value(DecodeEvent::ValueChunk(bytes)))
             }
             ReplyState::ValueEnd => {
                 let end = take_bulk(buf, 0)?;
-                Ok(end.map_or(Step::NeedMoreBytes, |_| Step::Element(Element::Null)))
+                Ok(end.map_or(ReplyStep::NeedMoreBytes, |_| {
+                    ReplyStep::Element(Element::Null)
+                }))
             }
         }
     }
 
-    /// Adds an element to the current array, if there is one. Returns the reply if it is complete.
+    /// Adds an element to the current array, or takes it as the whole reply outside an array. Returns the reply if it is
+    /// complete.
     fn add_element(&mut self, element: Element) -> Option<Reply> {
         let Some(missing) = &mut self.missing_elements else {
             return Some(Reply::Single(element));
@@ -429,22 +434,24 @@
         Some(Reply::Array(std::mem::take(&mut self.elements)))
     }
 
-    fn read_line(&mut self, line: &Bytes) -> Result<Step, DecodeError> {
+    fn read_line(&mut self, line: &Bytes) -> Result<ReplyStep, DecodeError> {
         let kind = *line.first().ok_or(DecodeError::EmptyLine)?;
         let content = line.slice(1..);
         match kind {
-            b'+' => Ok(Step::Element(Element::Simple(content))),
-            b'-' => Ok(Step::Element(Element::Error(content))),
-            b':' => Ok(Step::Element(Element::Integer(parse_number(&content)?))),
+            b'+' => Ok(ReplyStep::Element(Element::Simple(content))),
+            b'-' => Ok(ReplyStep::Element(Element::Error(content))),
+            b':' => Ok(ReplyStep::Element(Element::Integer(parse_number(
+                &content,
+            )?))),
             b'$' => self.begin_bulk(parse_number(&content)?),
             b'*' if self.missing_elements.is_none() => self.begin_array(parse_number(&content)?),
             _ => Err(DecodeError::UnknownType),
         }
     }
 
-    fn begin_bulk(&mut self, len: i64) -> Result<Step, DecodeError> {
+    fn begin_bulk(&mut self, len: i64) -> Result<ReplyStep, DecodeError> {
         if len == -1 {
-            return Ok(Step::Element(Element::Null));
+            return Ok(ReplyStep::Element(Element::Null));
         }
         let len = usize::try_from(len)
             .ok()
@@ -452,37 +459,37 @@
             .ok_or(DecodeError::InvalidLength)?;
         if len <= MAX_BUFFERED_VALUE {
             self.state = ReplyState::Bulk(len);
-            return Ok(Step::Header);
+            return Ok(ReplyStep::Header);
         }
-        // Only the value that a client has requested may be long: the first element.
+        // Only the value that a client has requested may be long, which is the first element.
         if self.missing_elements.is_none() || !self.elements.is_empty() {
             return Err(DecodeError::MisplacedLongString);
         }
         self.state = ReplyState::Value(len);
-        Ok(Step::Value(DecodeEvent::ValueStart(len)))
+        Ok(ReplyStep::Value(DecodeEvent::ValueStart(len)))
     }
 
-    fn begin_array(&mut self, count: i64) -> Result<Step, DecodeError> {
+    fn begin_array(&mut self, count: i64) -> Result<ReplyStep, DecodeError> {
         if count == -1 {
-            return Ok(Step::Element(Element::Null));
+            return Ok(ReplyStep::Element(Element::Null));
         }
         let count = usize::try_from(count)
             .ok()
             .filter(|count| (1..=MAX_ELEMENTS).contains(count))
             .ok_or(DecodeError::InvalidElementCount)?;
         self.missing_elements = Some(count);
-        Ok(Step::Header)
+        Ok(ReplyStep::Header)
     }
 }
 
-/// Appends a bulk string.
+/// Appends a bulk string to `out`.
 pub fn write_bulk(out: &mut Vec<u8>, bytes: &[u8]) {
     write_header(out, b'$', bytes.len());
     out.extend_from_slice(bytes);
     out.extend_from_slice(CRLF);
 }
 
-/// Appends the header of an array (`kind` is `*`) or of a bulk string (`$`): the line that announces its length.
+/// Appends the header of an array (`kind` is `*`) or of a bulk string (`$`), which announces its length.
 pub fn write_header(out: &mut Vec<u8>, kind: u8, len: usize) {
     out.push(kind);
     // Writing to a vector cannot fail.
--- a/crates/codec/src/resp2_tests.rs
+++ b/crates/codec/src/resp2_tests.rs
@@ -1,11 +1,12 @@
 use super::*;
 use proptest::prelude::*;
 
+/// Decodes the commands in `input`, which arrives in fragments. `bytes` is the size of the budget.
 fn commands(input: &[u8], cuts: &[usize], bytes: usize) -> (Vec<Command>, Option<DecodeError>) {
     let (mut reader, mut buf, mut out) = (CommandReader::default(), BytesMut::new(), Vec::new());
     let mut budget = ByteBudget::new(bytes);
-    for part in split(input, cuts) {
-        buf.extend_from_slice(part);
+    for fragment in split(input, cuts) {
+        buf.extend_from_slice(fragment);
         loop {
             match reader.next(&mut buf, &mut budget) {
                 Ok(Some(command)) => out.push(command),
@@ -17,11 +18,11 @@
     (out, None)
 }
 
-/// The events of the replies in `input`, with all chunks of a long value joined.
+/// Decodes the replies in `input`, which arrives in fragments. The chunks of a long value are joined into one event.
 fn replies(input: &[u8], cuts: &[usize]) -> (Vec<DecodeEvent>, Option<DecodeError>) {
     let (mut reader, mut buf, mut out) = (ReplyReader::default(), BytesMut::new(), Vec::new());
-    for part in split(input, cuts) {
-        buf.extend_from_slice(part);
+    for fragment in split(input, cuts) {
+        buf.extend_from_slice(fragment);
         loop {
             match (reader.next(&mut buf), out.last_mut()) {
                 (Ok(Some(DecodeEvent::ValueChunk(more))), Some(DecodeEvent::ValueChunk(bytes))) => {
@@ -36,7 +37,7 @@
     (out, None)
 }
 
-/// The parts of `input` between these positions, each taken modulo its length.
+/// Splits `input` at the positions `cuts`, each taken modulo the length of the input plus one.
 fn split<'a>(input: &'a [u8], cuts: &[usize]) -> Vec<&'a [u8]> {
     let mut at: Vec<usize> = cuts.iter().map(|c| c % (input.len() + 1)).collect();
     at.extend([0, input.len()]);
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn commands_split_at_any_byte_are_read_alike() {
+fn commands_split_at_any_byte_are_decoded_the_same() {
     let value = vec![b'v'; 9000];
     let mut input = command(&[b"C.SET", b"key", b"id", b"c=put", &value]);
     input.extend(b"*0\r\n");
@@ -72,7 +73,7 @@
 }
 
 #[test]
-fn value_beyond_the_budget_is_dropped_and_the_next_command_read() {
+fn value_beyond_the_budget_is_discarded_and_the_next_command_is_decoded() {
     let mut input = command(&[b"C.SET", b"key", b"id", b"c=put", &[b'v'; 9000]]);
     input.extend(command(&[b"PING"]));
     let (got, error) = commands(&input, &[5000], 8999);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn announced_lengths_take_no_memory_and_invalid_ones_are_errors() {
+fn announced_lengths_allocate_no_memory_and_invalid_lengths_are_errors() {
     let long_line = [b'x'; 2000];
     let cases: [&[u8]; 9] = [
         b"*99999999\r\n",
@@ -109,7 +110,7 @@
 
 proptest! {
     #[test]
-    fn commands_do_not_depend_on_how_bytes_are_split(
+    fn decoded_commands_do_not_depend_on_how_bytes_are_split(
         lists in prop::collection::vec(prop::collection::vec(
             prop::collection::vec(any::<u8>(), 0..40), 1..6), 1..5),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
@@ -126,13 +127,13 @@
     }
 
     #[test]
-    fn replies_do_not_depend_on_how_bytes_are_split(
-        parts in prop::collection::vec(0usize..6, 1..8),
+    fn decoded_replies_do_not_depend_on_how_bytes_are_split(
+        kinds in prop::collection::vec(0usize..6, 1..8),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
     ) {
         let mut input = Vec::new();
-        for part in &parts {
-            match part {
+        for kind in &kinds {
+            match kind {
                 0 => input.extend(b"+PONG\r\n"),
                 1 => input.extend(b"-BUSY inflight=7\r\n"),
                 2 => input.extend(b"*3\r\n$5\r\nvalue\r\n$3\r\nhit\r\n$-1\r\n"),
@@ -151,7 +152,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_never_panic_and_are_read_alike_however_split(
+    fn arbitrary_bytes_never_panic_and_splitting_them_changes_nothing(
         input in prop::collection::vec(prop::sample::select(b"*$+-:\r\n0123459x".to_vec()), 0..80),
         cuts in prop::collection::vec(any::<usize>(), 0..5),
     ) {
--- a/crates/codec/src/site_link.rs
+++ b/crates/codec/src/site_link.rs
@@ -1,59 +1,58 @@
 //! The frames of the link between two sites, version 1. The specification is `docs/gateway-link.md`; names in capitals
 //! are those of its section "Frames".
 //!
-//! Many requests share a connection: no frame's body is longer than [`MAX_BODY`], so that none delays the others for
-//! long. Reading and writing hold no state; a frame is read once it is complete, and the same bytes give the same
-//! frames however they are split into reads.
+//! Many requests share a connection. The body of a frame is limited to [`MAX_BODY_BYTES`] bytes so that no frame delays the
+//! others for long. Decoding and encoding are stateless; a frame is decoded once it is complete, and the result does not
+//! depend on how the bytes are split into reads.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use thiserror::Error;
 
-/// Bytes before a frame's body.
-pub const HEADER: usize = 8;
-/// Longest body of a frame in bytes.
-pub const MAX_BODY: usize = 16 << 10;
+/// Length of a frame's header in bytes.
+pub const HEADER_BYTES: usize = 8;
+/// Maximum length of a frame's body in bytes.
+pub const MAX_BODY_BYTES: usize = 16 << 10;
 /// The version of the protocol that this module implements.
 pub const VERSION: u16 = 1;
-/// Most nodes that a HELLO names.
+/// Maximum number of nodes in a HELLO.
 pub const MAX_NODES: usize = 512;
-/// Longest short text in bytes: its length takes one byte.
-const MAX_SHORT_TEXT: usize = 255;
-/// The flag of a REQUEST that writes.
+/// Maximum length of a short text in bytes; the length is encoded in one byte.
+const MAX_SHORT_TEXT_BYTES: usize = 255;
+/// Flag of a REQUEST: the request writes.
 const WRITE_FLAG: u8 = 1;
-/// The flag of a REQUEST that its client has marked as a retry.
+/// Flag of a REQUEST: the client has marked the request as a retry.
 const RETRY_FLAG: u8 = 2;
 
-/// The bytes are no frame of version 1. The position of the next frame is unknown: the connection cannot be used any
-/// further.
+/// The bytes are not a frame of version 1. The start of the next frame is unknown, so the connection has to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The kind of the frame is unknown.
-    #[error("unknown kind of frame")]
-    UnknownKind,
+    #[error("unknown frame kind")]
+    UnknownFrameKind,
     /// A flag is set that version 1 does not define.
     #[error("unknown flags")]
     UnknownFlags,
-    /// The body exceeds [`MAX_BODY`].
-    #[error("a body is too long")]
+    /// The body exceeds [`MAX_BODY_BYTES`].
+    #[error("frame body is too long")]
     BodyTooLong,
     /// The body ends before its last field.
-    #[error("a body is shorter than its parts")]
-    BodyTooShort,
-    /// The body goes on behind its last field.
-    #[error("a body is longer than its parts")]
-    TrailingBytes,
-    /// A HELLO names more than [`MAX_NODES`] nodes.
+    #[error("frame body is shorter than its fields")]
+    BodyShorterThanFields,
+    /// The body has bytes after its last field.
+    #[error("frame body is longer than its fields")]
+    BodyLongerThanFields,
+    /// A HELLO lists more than [`MAX_NODES`] nodes.
     #[error("too many nodes")]
     TooManyNodes,
     /// The outcome in a HEAD is unknown.
-    #[error("unknown end")]
+    #[error("unknown request outcome")]
     UnknownOutcome,
     /// The verdict in a CLAIMED is unknown.
-    #[error("unknown claim")]
-    UnknownVerdict,
+    #[error("unknown claim verdict")]
+    UnknownClaimVerdict,
 }
 
-/// How a request that was forwarded over the link has ended.
+/// The outcome of a request that was forwarded over the link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Outcome {
@@ -61,11 +60,11 @@
     Served = 0,
     /// Served; there is no value.
     NoValue = 1,
-    /// Rejected; nothing of it has run.
+    /// Rejected; nothing of the request has run.
     Rejected = 2,
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed = 3,
-    /// It arrived too late, or by a lease of another incarnation; nothing of it has run.
+    /// The request arrived too late, or with a lease of another incarnation; nothing of it has run.
     Late = 4,
 }
 
@@ -82,7 +81,7 @@
     }
 }
 
-/// What an arbiter has decided about the claim of an idempotency key.
+/// The decision of an arbiter on the claim of an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum ClaimVerdict {
@@ -92,8 +91,8 @@
     Served = 1,
     /// The request has been forwarded to the other site.
     Crossed = 2,
-    /// The arbiter does not know.
-    CantTell = 3,
+    /// The arbiter cannot decide.
+    Undecided = 3,
 }
 
 impl ClaimVerdict {
@@ -102,8 +101,8 @@
             0 => Ok(ClaimVerdict::Here),
             1 => Ok(ClaimVerdict::Served),
             2 => Ok(ClaimVerdict::Crossed),
-            3 => Ok(ClaimVerdict::CantTell),
-            _ => Err(DecodeError::UnknownVerdict),
+            3 => Ok(ClaimVerdict::Undecided),
+            _ => Err(DecodeError::UnknownClaimVerdict),
         }
     }
 }
@@ -111,109 +110,110 @@
 /// The body of a REQUEST.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Request {
-    /// The incarnation of the node that has issued the lease.
+    /// The incarnation of the node that issued the lease.
     pub lease_epoch: u64,
-    /// The number of the lease by which the request may begin.
+    /// The number of the lease that allows the request to start.
     pub lease_number: u64,
-    /// Time that the receiver may use, from arrival, in microseconds.
-    pub time_left: u32,
-    /// Whether it writes.
+    /// Time that the receiver has to serve the request, from its arrival, in microseconds.
+    pub time_left_us: u32,
+    /// Whether the request writes.
     pub is_write: bool,
-    /// Whether its client has marked it as a retry.
+    /// Whether the client has marked the request as a retry.
     pub is_retry: bool,
-    /// Name of its class.
+    /// Name of the request's class.
     pub class: Bytes,
-    /// Name of its tenant.
+    /// Name of the request's tenant.
     pub tenant: Bytes,
-    /// Its idempotency key; empty if it has none.
+    /// The idempotency key; empty if the request has none.
     pub idempotency_key: Bytes,
-    /// Its id.
+    /// The id of the request.
     pub id: Bytes,
-    /// The key that it reads or writes.
+    /// The key that the request reads or writes.
     pub key: Bytes,
-    /// Bytes of the value to write, which follows in BODY frames.
+    /// Length of the value to write in bytes; the value follows in BODY frames.
     pub value_len: u32,
 }
 
-/// The body of a HELLO, with which each side begins.
+/// The body of a HELLO, the first frame that each side sends.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Hello {
-    /// The version of the protocol.
+    /// The version of the protocol that the node uses.
     pub version: u16,
-    /// The node's incarnation; no other start of any node has the same.
+    /// The incarnation of the node, which is unique among all starts of all nodes.
     pub epoch: u64,
-    /// How long its leases are valid, in milliseconds.
-    pub lease_lifetime: u16,
-    /// Name of its site.
+    /// How long the leases of the node are valid, in milliseconds.
+    pub lease_lifetime_ms: u16,
+    /// Name of the node's site.
     pub site: Bytes,
     /// Name of the node.
     pub node: Bytes,
     /// Version of the list of nodes.
     pub node_list_version: u64,
-    /// Names of the nodes of its site.
+    /// Names of the nodes of the site.
     pub nodes: Vec<Bytes>,
 }
 
 /// The content of a frame.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// HELLO.
+    /// HELLO: the introduction of a node.
     Hello(Hello),
-    /// REQUEST.
+    /// REQUEST: the beginning of a request.
     Request(Request),
     /// HEAD: the beginning of a response.
     ResponseHead {
-        /// How the request has ended.
+        /// The outcome of the request.
         outcome: Outcome,
-        /// Retry-After of a rejection, in milliseconds.
-        retry_after: u32,
-        /// Bytes of the value, which follows in BODY frames.
+        /// Retry-After of a rejected request, in milliseconds.
+        retry_after_ms: u32,
+        /// Length of the value in bytes; the value follows in BODY frames.
         value_len: u32,
     },
-    /// BODY: bytes of a value.
+    /// BODY: the next bytes of a value.
     Body(Bytes),
     /// CANCEL: the response is no longer needed.
     Cancel,
-    /// CREDIT: bytes of BODY that may be sent in addition, for this request or (request 0) on this connection.
+    /// CREDIT: number of additional bytes that may be sent in BODY frames, for this request or (request 0) on this
+    /// connection.
     Credit(u32),
-    /// BEAT: a heartbeat, which its receiver returns with `is_echo` set.
+    /// BEAT: a heartbeat, which the receiver returns with `is_echo` set.
     Heartbeat {
-        /// Whether this is the reply.
+        /// Whether this is the reply to a heartbeat.
         is_echo: bool,
-        /// A number that the reply repeats.
+        /// A number that the receiver copies into the reply.
         sent: u64,
     },
-    /// LEASE: the right to begin a request.
+    /// LEASE: permission to start a request.
     Lease {
-        /// The incarnation of the node that issues it.
+        /// The incarnation of the node that issues the lease.
         epoch: u64,
-        /// Its number.
+        /// The number of the lease.
         number: u64,
     },
-    /// CLAIM: asks the arbiter of this idempotency key for its verdict.
+    /// CLAIM: requests the verdict of the arbiter on this idempotency key.
     Claim(Bytes),
-    /// CLAIMED: the arbiter's response.
+    /// CLAIMED: the response of the arbiter to a CLAIM.
     ClaimResponse {
-        /// What the arbiter has decided.
+        /// The decision of the arbiter.
         verdict: ClaimVerdict,
-        /// The receipt of a request that has been served.
+        /// The receipt of the request, if the verdict is [`ClaimVerdict::Served`].
         receipt: Bytes,
     },
-    /// GOAWAY: this side is draining, no new requests are to be sent to it.
+    /// GOAWAY: the sender is draining and accepts no new requests.
     GoAway,
 }
 
-/// A frame.
+/// A frame of the link.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The request that it belongs to; 0 for the connection itself.
+    /// Number of the request that the frame belongs to; 0 for the connection itself.
     pub request: u32,
-    /// Its content.
+    /// The content of the frame.
     pub message: Message,
 }
 
 impl Message {
-    /// The code of the frame's kind.
+    /// Code of the frame kind in the header.
     fn kind(&self) -> u8 {
         match self {
             Message::Hello(_) => 1,
@@ -236,11 +236,11 @@
             Message::Request(request) => request.encode(out),
             Message::ResponseHead {
                 outcome,
-                retry_after,
+                retry_after_ms,
                 value_len,
             } => {
                 out.put_u8(*outcome as u8);
-                out.put_u32(*retry_after);
+                out.put_u32(*retry_after_ms);
                 out.put_u32(*value_len);
             }
             Message::Body(bytes) | Message::Claim(bytes) => out.put_slice(bytes),
@@ -268,7 +268,7 @@
             2 => Message::Request(Request::decode(&mut body)?),
             3 => Message::ResponseHead {
                 outcome: Outcome::from_code(body.u8()?)?,
-                retry_after: body.u32()?,
+                retry_after_ms: body.u32()?,
                 value_len: body.u32()?,
             },
             4 => Message::Body(body.take_remaining()),
@@ -292,9 +292,9 @@
                 receipt: body.take_remaining(),
             },
             11 => Message::GoAway,
-            _ => return Err(DecodeError::UnknownKind),
+            _ => return Err(DecodeError::UnknownFrameKind),
         };
-        body.end()?;
+        body.expect_end()?;
         Ok(message)
     }
 }
@@ -303,7 +303,7 @@
     fn encode(&self, out: &mut Vec<u8>) {
         out.put_u16(self.version);
         out.put_u64(self.epoch);
-        out.put_u16(self.lease_lifetime);
+        out.put_u16(self.lease_lifetime_ms);
         encode_short_text(out, &self.site);
         encode_short_text(out, &self.node);
         out.put_u64(self.node_list_version);
@@ -317,7 +317,7 @@
         let mut hello = Hello {
             version: body.u16()?,
             epoch: body.u64()?,
-            lease_lifetime: body.u16()?,
+            lease_lifetime_ms: body.u16()?,
             site: body.short_text()?,
             node: body.short_text()?,
             node_list_version: body.u64()?,
@@ -340,7 +340,7 @@
         let retry_flag = if self.is_retry { RETRY_FLAG } else { 0 };
         out.put_u64(self.lease_epoch);
         out.put_u64(self.lease_number);
-        out.put_u32(self.time_left);
+        out.put_u32(self.time_left_us);
         out.put_u8(write_flag | retry_flag);
         encode_short_text(out, &self.class);
         encode_short_text(out, &self.tenant);
@@ -354,7 +354,7 @@
     fn decode(body: &mut BodyReader) -> Result<Request, DecodeError> {
         let lease_epoch = body.u64()?;
         let lease_number = body.u64()?;
-        let time_left = body.u32()?;
+        let time_left_us = body.u32()?;
         let flags = body.u8()?;
         if flags & !(WRITE_FLAG | RETRY_FLAG) != 0 {
             return Err(DecodeError::UnknownFlags);
@@ -362,7 +362,7 @@
         Ok(Request {
             lease_epoch,
             lease_number,
-            time_left,
+            time_left_us,
             is_write: flags & WRITE_FLAG != 0,
             is_retry: flags & RETRY_FLAG != 0,
             class: body.short_text()?,
@@ -375,35 +375,36 @@
     }
 }
 
-/// Appends a short text: its length in one byte, then its bytes. Callers bound their texts; a longer one is truncated.
+/// Appends a short text: its length in one byte, then its bytes. Callers limit the length; a longer text is truncated.
 fn encode_short_text(out: &mut Vec<u8>, text: &[u8]) {
-    let text = &text[..text.len().min(MAX_SHORT_TEXT)];
+    let text = &text[..text.len().min(MAX_SHORT_TEXT_BYTES)];
     out.put_u8(text.len() as u8);
     out.put_slice(text);
 }
 
-/// Appends a frame. `request`: the one that it belongs to, 0 for the connection itself. Callers bound the body to
-/// [`MAX_BODY`].
+/// Appends a frame to `out`. `request` is the number of the request that the frame belongs to, 0 for the connection
+/// itself. Callers limit the body to [`MAX_BODY_BYTES`] bytes.
 pub fn encode(out: &mut Vec<u8>, request: u32, message: &Message) {
     let start = out.len();
     out.put_u8(message.kind());
-    // Version 1 has no flags. The length is filled in below.
+    // Version 1 defines no flags. The length is filled in below.
     out.put_u8(0);
     out.put_u16(0);
     out.put_u32(request);
     message.encode_body(out);
-    let len = out.len() - start - HEADER;
-    debug_assert!(len <= MAX_BODY, "a body of {len} bytes");
+    let len = out.len() - start - HEADER_BYTES;
+    debug_assert!(len <= MAX_BODY_BYTES, "frame body of {len} bytes");
     out[start + 2..start + 4].copy_from_slice(&(len as u16).to_be_bytes());
 }
 
-/// Reads the fields of a frame's body.
+/// Decodes the fields of a frame's body in order.
 struct BodyReader(Bytes);
 
 impl BodyReader {
+    /// Checks that at least `len` bytes are left.
     fn require(&self, len: usize) -> Result<(), DecodeError> {
         if self.0.len() < len {
-            return Err(DecodeError::BodyTooShort);
+            return Err(DecodeError::BodyShorterThanFields);
         }
         Ok(())
     }
@@ -428,13 +429,13 @@
         self.require(len).map(|()| self.0.split_to(len))
     }
 
-    /// A text behind its length in one byte.
+    /// Reads a text that follows its length in one byte.
     fn short_text(&mut self) -> Result<Bytes, DecodeError> {
         let len = self.u8()?;
         self.take(usize::from(len))
     }
 
-    /// A text behind its length in two bytes.
+    /// Reads a text that follows its length in two bytes.
     fn long_text(&mut self) -> Result<Bytes, DecodeError> {
         let len = self.u16()?;
         self.take(usize::from(len))
@@ -445,21 +446,21 @@
     }
 
     /// Checks that all fields have been read.
-    fn end(&self) -> Result<(), DecodeError> {
+    fn expect_end(&self) -> Result<(), DecodeError> {
         if self.0.is_empty() {
             Ok(())
         } else {
-            Err(DecodeError::TrailingBytes)
+            Err(DecodeError::BodyLongerThanFields)
         }
     }
 }
 
-/// Takes the next frame off the buffer; `None` while it is incomplete.
+/// Removes the next frame from the buffer and returns it; `None` while it is incomplete.
 ///
 /// # Errors
-/// The bytes are no frame of version 1.
+/// The bytes are not a frame of version 1.
 pub fn decode(buf: &mut BytesMut) -> Result<Option<Frame>, DecodeError> {
-    if buf.len() < HEADER {
+    if buf.len() < HEADER_BYTES {
         return Ok(None);
     }
     let kind = buf[0];
@@ -469,13 +470,13 @@
     if flags != 0 {
         return Err(DecodeError::UnknownFlags);
     }
-    if body_len > MAX_BODY {
+    if body_len > MAX_BODY_BYTES {
         return Err(DecodeError::BodyTooLong);
     }
-    if buf.len() < HEADER + body_len {
+    if buf.len() < HEADER_BYTES + body_len {
         return Ok(None);
     }
-    buf.advance(HEADER);
+    buf.advance(HEADER_BYTES);
     let message = Message::decode(kind, buf.split_to(body_len).freeze())?;
     Ok(Some(Frame { request, message }))
 }
--- a/crates/codec/src/site_link_tests.rs
+++ b/crates/codec/src/site_link_tests.rs
@@ -1,14 +1,15 @@
 use super::*;
 use proptest::prelude::*;
 
-/// The frames in `input`, which arrives in parts between the positions in `cuts` (each taken modulo its length).
-fn read(input: &[u8], cuts: &[usize]) -> (Vec<Frame>, Option<DecodeError>) {
+/// Decodes the frames in `input`, which arrives in fragments: it is split at the positions `cuts`, each taken modulo the
+/// length of the input plus one.
+fn decode_all(input: &[u8], cuts: &[usize]) -> (Vec<Frame>, Option<DecodeError>) {
     let mut at: Vec<usize> = cuts.iter().map(|c| c % (input.len() + 1)).collect();
     at.extend([0, input.len()]);
     at.sort_unstable();
     let (mut buf, mut out) = (BytesMut::new(), Vec::new());
-    for part in at.windows(2) {
-        buf.extend_from_slice(&input[part[0]..part[1]]);
+    for fragment in at.windows(2) {
+        buf.extend_from_slice(&input[fragment[0]..fragment[1]]);
         loop {
             match decode(&mut buf) {
                 Ok(Some(frame)) => out.push(frame),
@@ -28,11 +29,11 @@
     let numbers = any::<(u16, u64, u16, u64)>();
     let nodes = prop::collection::vec(any_text(40), 0..5);
     (numbers, any_text(256), any_text(256), nodes).prop_map(|(numbers, site, node, nodes)| {
-        let (version, epoch, lease_lifetime, node_list_version) = numbers;
+        let (version, epoch, lease_lifetime_ms, node_list_version) = numbers;
         Message::Hello(Hello {
             version,
             epoch,
-            lease_lifetime,
+            lease_lifetime_ms,
             site,
             node,
             node_list_version,
@@ -45,11 +46,11 @@
     let numbers = any::<(u64, u64, u32, bool, bool, u32)>();
     let texts = (any_text(256), any_text(256), any_text(256), any_text(600));
     (numbers, texts).prop_map(|(numbers, (class, tenant, idempotency_key, key))| {
-        let (lease_epoch, lease_number, time_left, is_write, is_retry, value_len) = numbers;
+        let (lease_epoch, lease_number, time_left_us, is_write, is_retry, value_len) = numbers;
         Message::Request(Request {
             lease_epoch,
             lease_number,
-            time_left,
+            time_left_us,
             is_write,
             is_retry,
             id: class.clone(),
@@ -71,9 +72,9 @@
         Outcome::Late,
     ];
     (prop::sample::select(outcomes), any::<(u32, u32)>()).prop_map(
-        |(outcome, (retry_after, value_len))| Message::ResponseHead {
+        |(outcome, (retry_after_ms, value_len))| Message::ResponseHead {
             outcome,
-            retry_after,
+            retry_after_ms,
             value_len,
         },
     )
@@ -84,7 +85,7 @@
         ClaimVerdict::Here,
         ClaimVerdict::Served,
         ClaimVerdict::Crossed,
-        ClaimVerdict::CantTell,
+        ClaimVerdict::Undecided,
     ];
     (prop::sample::select(verdicts), any_text(300))
         .prop_map(|(verdict, receipt)| Message::ClaimResponse { verdict, receipt })
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn frames_are_encoded_as_the_specification_says() {
+fn heartbeat_and_response_head_are_encoded_as_specified() {
     let mut out = Vec::new();
     let heartbeat = Message::Heartbeat {
         is_echo: true,
@@ -121,7 +122,7 @@
     out.clear();
     let rejection = Message::ResponseHead {
         outcome: Outcome::Rejected,
-        retry_after: 120,
+        retry_after_ms: 120,
         value_len: 0,
     };
     encode(&mut out, 9, &rejection);
@@ -132,11 +133,11 @@
 }
 
 #[test]
-fn request_and_hello_are_encoded_as_the_specification_says() {
+fn request_and_hello_are_encoded_as_specified() {
     let request = Message::Request(Request {
         lease_epoch: 1,
         lease_number: 2,
-        time_left: 3,
+        time_left_us: 3,
         is_write: true,
         is_retry: true,
         class: Bytes::from_static(b"c"),
@@ -157,7 +158,7 @@
     let hello = Message::Hello(Hello {
         version: VERSION,
         epoch: 2,
-        lease_lifetime: 3,
+        lease_lifetime_ms: 3,
         site: Bytes::from_static(b"s"),
         node: Bytes::from_static(b"n"),
         node_list_version: 4,
@@ -174,30 +175,36 @@
 }
 
 #[test]
-fn frames_that_version_1_does_not_have_are_errors() {
+fn frames_that_version_1_does_not_define_are_errors() {
     let cases: [(&[u8], &str); 9] = [
-        (b"\x00\x00\x00\x00\x00\x00\x00\x00", "unknown kind of frame"),
-        (b"\x0c\x00\x00\x00\x00\x00\x00\x00", "unknown kind of frame"),
+        (b"\x00\x00\x00\x00\x00\x00\x00\x00", "unknown frame kind"),
+        (b"\x0c\x00\x00\x00\x00\x00\x00\x00", "unknown frame kind"),
         (b"\x05\x01\x00\x00\x00\x00\x00\x00", "unknown flags"),
-        (b"\x04\x00\x40\x01\x00\x00\x00\x00", "a body is too long"),
+        (
+            b"\x04\x00\x40\x01\x00\x00\x00\x00",
+            "frame body is too long",
+        ),
         (
             b"\x05\x00\x00\x01\x00\x00\x00\x00x",
-            "a body is longer than its parts",
+            "frame body is longer than its fields",
         ),
         (
             b"\x06\x00\x00\x03\x00\x00\x00\x00abc",
-            "a body is shorter than its parts",
+            "frame body is shorter than its fields",
         ),
         (
             b"\x03\x00\x00\x09\x00\x00\x00\x00\x09abcdefgh",
-            "unknown end",
+            "unknown request outcome",
+        ),
+        (
+            b"\x0a\x00\x00\x01\x00\x00\x00\x00\x04",
+            "unknown claim verdict",
         ),
-        (b"\x0a\x00\x00\x01\x00\x00\x00\x00\x04", "unknown claim"),
-        // RESP2 in place of a frame: its second byte is read as flags.
+        // A RESP2 command instead of a frame: its second byte is decoded as flags.
         (b"*4\r\n$5\r\nC.GET\r\n", "unknown flags"),
     ];
     for (input, message) in cases {
-        let (frames, error) = read(input, &[3, 5]);
+        let (frames, error) = decode_all(input, &[3, 5]);
         assert!(frames.is_empty());
         let error = error.map(|error| error.to_string());
         assert_eq!(error.as_deref(), Some(message), "{input:?}");
@@ -206,7 +213,7 @@
 
 proptest! {
     #[test]
-    fn frames_are_read_as_written_however_they_are_split(
+    fn decoded_frames_equal_the_encoded_ones_however_bytes_are_split(
         list in prop::collection::vec((any::<u32>(), any_message()), 1..8),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
     ) {
@@ -216,11 +223,11 @@
             encode(&mut input, request, &message);
             frames.push(Frame { request, message });
         }
-        prop_assert_eq!(read(&input, &cuts), (frames, None));
+        prop_assert_eq!(decode_all(&input, &cuts), (frames, None));
     }
 
     #[test]
-    fn arbitrary_bytes_never_panic_and_are_read_alike_however_split(
+    fn arbitrary_bytes_never_panic_and_splitting_them_changes_nothing(
         mut input in prop::collection::vec(any::<u8>(), 0..200),
         kind in 0u8..13,
         cuts in prop::collection::vec(any::<usize>(), 0..5),
@@ -228,6 +235,6 @@
         if input.len() > 4 {
             input[..3].copy_from_slice(&[kind, 0, 0]);
         }
-        prop_assert_eq!(read(&input, &[]), read(&input, &cuts));
+        prop_assert_eq!(decode_all(&input, &[]), decode_all(&input, &cuts));
     }
 }
--- a/crates/memcached/src/config.rs
+++ b/crates/memcached/src/config.rs
@@ -96,7 +96,7 @@
         let ledger_section = reader.section(top, "ledger");
         let mut ledger = read_ledger(reader, top, ledger_section, memory);
         let route_sections = reader.list(top, "route");
-        if top.has("listen") && route_sections.is_empty() {
+        if top.has_field("listen") && route_sections.is_empty() {
             reader.report(
                 top,
                 "route",
@@ -131,7 +131,7 @@
 }
 
 fn read_listen_address(reader: &mut Reader<'_>, top: Section<'_>) -> Option<SocketAddr> {
-    if !top.has("listen") {
+    if !top.has_field("listen") {
         return None;
     }
     reader.parsed_text(
@@ -201,7 +201,7 @@
     let keys = read_pattern(reader, section);
     let class_name = reader.text(section, "class", "a class of the node's settings");
     let class = class_name.and_then(|name| find_class(reader, section, names, name));
-    let tenant_name = if section.has("tenant") {
+    let tenant_name = if section.has_field("tenant") {
         reader.text(section, "tenant", "a tenant (realm) of the node's settings")
     } else {
         None
--- a/crates/toml_config/src/lib.rs
+++ b/crates/toml_config/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads TOML that people write and reports every mistake, not just the first: each with its line, its field, what
-//! is wrong and what is allowed. It performs no I/O.
+//! Reads hand-written TOML and reports all problems at once, each with its line, its field, the reason and the allowed
+//! values. The package performs no I/O.
 //!
 //! [`read`] parses a text and passes a [`Reader`] with the top-level [`Section`] to a closure, which fetches the
-//! values field by field. The reader owns the mistakes found so far; the closure's result counts only if there are
+//! values field by field. The reader collects the problems; the result of the closure is returned only if there are
 //! none.
 
 use std::ops::RangeInclusive;
@@ -11,43 +11,43 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// Unknown fields within this Damerau-Levenshtein distance of an allowed one are reported with it as a suggestion.
+/// Maximum Damerau-Levenshtein distance between an unknown field and the allowed field that is suggested instead.
 const MAX_SUGGESTION_DISTANCE: usize = 3;
 
-/// A mistake in the text.
+/// An error in the text.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("line {line}: {field}: {why}")]
 pub struct Problem {
-    /// Its line, counted from 1.
+    /// Line of the error, counted from 1.
     pub line: usize,
-    /// The field's path, like `route[1].class`.
+    /// Path of the field, for example `route[1].class`.
     pub field: String,
-    /// What is wrong with the field and what is allowed.
+    /// What is wrong with the field, usually followed by the allowed values.
     pub why: String,
 }
 
-/// A table of the text.
+/// A table of the text, with its position and path.
 #[derive(Clone, Copy)]
 pub struct Section<'a> {
     /// Byte offset of the table in the text.
     offset: usize,
     /// Name of the field that holds the table; empty for the top level.
     path: &'a str,
-    /// The table's index, if it is one of a list.
+    /// Index of the table in its list, counted from 0; `None` if it is not in a list.
     index: Option<usize>,
     table: &'a DeTable<'a>,
 }
 
-/// Reads values and collects mistakes.
+/// Reads values and collects problems.
 pub struct Reader<'t> {
     text: &'t str,
     problems: Vec<Problem>,
 }
 
-/// Reads a text by `convert`, whose value counts only if there are no mistakes.
+/// Parses a text and converts it with `convert`. Returns the converted value only if there are no problems.
 ///
 /// # Errors
-/// All mistakes, in the order of their lines.
+/// All problems, in the order of their lines.
 pub fn read<T>(
     text: &str,
     convert: impl FnOnce(&mut Reader<'_>, Section<'_>) -> Option<T>,
@@ -80,7 +80,7 @@
     }
 }
 
-/// A value as messages show it.
+/// Formats a value for messages.
 pub fn display_value(value: &DeValue<'_>) -> String {
     match value {
         DeValue::String(text) => format!("{text:?}"),
@@ -104,7 +104,7 @@
 }
 
 impl<'a> Section<'a> {
-    fn find(&self, name: &str) -> Option<&'a Spanned<DeValue<'a>>> {
+    fn find_field(&self, name: &str) -> Option<&'a Spanned<DeValue<'a>>> {
         self.table
             .iter()
             .find(|(key, _)| key.get_ref() == name)
@@ -112,11 +112,12 @@
     }
 
     /// Whether the table has a field of this name.
-    pub fn has(&self, name: &str) -> bool {
-        self.find(name).is_some()
+    pub fn has_field(&self, name: &str) -> bool {
+        self.find_field(name).is_some()
     }
 
-    fn path(&self, name: &str) -> String {
+    /// Path of the field `name` of this table.
+    fn field_path(&self, name: &str) -> String {
         match self.index {
             Some(index) => format!("{}[{index}].{name}", self.path),
             None if self.path.is_empty() => name.to_string(),
@@ -132,15 +133,15 @@
         self.problems.push(Problem { line, field, why });
     }
 
-    /// Reports a mistake in a field, at the field's line or, if it is absent, at its table's.
+    /// Reports a problem of a field, at the line of the field or, if it is absent, at the line of its table.
     pub fn report(&mut self, section: Section<'_>, name: &str, why: impl Into<String>) {
         let offset = section
-            .find(name)
+            .find_field(name)
             .map_or(section.offset, |value| value.span().start);
-        self.add_problem(offset, section.path(name), why.into());
+        self.add_problem(offset, section.field_path(name), why.into());
     }
 
-    /// Reports every field that is not among `fields`, with the most similar one as a suggestion.
+    /// Reports every field of the section that is not in `fields`, and suggests the most similar one that is.
     pub fn reject_unknown_fields(&mut self, section: Section<'_>, fields: &[&str]) {
         for (key, _) in section.table {
             let name: &str = key.get_ref();
@@ -156,13 +157,13 @@
                 .map_or(String::new(), |(_, field)| format!("; {field}?"));
             let allowed = fields.join(", ");
             let why = format!("is no known field{suggestion}; allowed: {allowed}");
-            self.add_problem(key.span().start, section.path(name), why);
+            self.add_problem(key.span().start, section.field_path(name), why);
         }
     }
 
-    /// Converts a field's value by `convert`. `None`, with a mistake reported, if it cannot be converted, or if the
-    /// field is absent and has no `default`.
-    fn convert<'a, T>(
+    /// Converts the value of a field with `convert`, or returns `default` if the field is absent. Reports a problem and
+    /// returns `None` if the value cannot be converted, or if the field is absent and there is no default.
+    fn read_field<'a, T>(
         &mut self,
         section: Section<'a>,
         name: &str,
@@ -170,31 +171,31 @@
         default: Option<T>,
         convert: impl FnOnce(&'a DeValue<'a>) -> Option<T>,
     ) -> Option<T> {
-        let Some(value) = section.find(name) else {
+        let Some(value) = section.find_field(name) else {
             if default.is_none() {
                 let why = format!("is missing; allowed: {allowed}");
-                self.add_problem(section.offset, section.path(name), why);
+                self.add_problem(section.offset, section.field_path(name), why);
             }
             return default;
         };
         let converted = convert(value.get_ref());
         if converted.is_none() {
-            let displayed = display_value(value.get_ref());
-            let why = format!("is {displayed}; allowed: {allowed}");
-            self.add_problem(value.span().start, section.path(name), why);
+            let displayed_value = display_value(value.get_ref());
+            let why = format!("is {displayed_value}; allowed: {allowed}");
+            self.add_problem(value.span().start, section.field_path(name), why);
         }
         converted
     }
 
-    /// A text that is required and not empty. `allowed` describes it in messages.
+    /// Reads a required, non-empty text. `allowed` describes the allowed texts in messages.
     pub fn text<'a>(&mut self, section: Section<'a>, name: &str, allowed: &str) -> Option<&'a str> {
-        self.convert(section, name, allowed, None, |value| {
+        self.read_field(section, name, allowed, None, |value| {
             value.as_str().filter(|text| !text.is_empty())
         })
     }
 
-    /// A text as `parse` understands it, or `default` if it is absent; without a default it is required. `allowed`
-    /// describes the texts that `parse` accepts.
+    /// Reads a text and parses it with `parse`, or returns `default` if the field is absent. Without a default the field
+    /// is required. `allowed` describes the texts that `parse` accepts.
     pub fn parsed_text<T>(
         &mut self,
         section: Section<'_>,
@@ -203,12 +204,13 @@
         default: Option<T>,
         parse: impl FnOnce(&str) -> Option<T>,
     ) -> Option<T> {
-        self.convert(section, name, allowed, default, |value| {
+        self.read_field(section, name, allowed, default, |value| {
             value.as_str().and_then(parse)
         })
     }
 
-    /// An integer within bounds, or `default` if it is absent; without a default it is required.
+    /// Reads an integer within bounds, or returns `default` if the field is absent. Without a default the field is
+    /// required.
     pub fn integer(
         &mut self,
         section: Section<'_>,
@@ -217,7 +219,7 @@
         default: Option<u32>,
     ) -> Option<u32> {
         let allowed = format!("a whole number from {} to {}", bounds.start(), bounds.end());
-        self.convert(section, name, &allowed, default, |value| {
+        self.read_field(section, name, &allowed, default, |value| {
             let representable = 0.0..=f64::from(u32::MAX);
             number(value)
                 .filter(|number| number.fract() == 0.0 && representable.contains(number))
@@ -226,19 +228,19 @@
         })
     }
 
-    /// The tables of a list; empty if it is absent. Items that are no tables are reported and left out.
+    /// Reads a list of tables; empty if the field is absent. Items that are not tables are reported and skipped.
     pub fn list<'a>(&mut self, section: Section<'a>, name: &'a str) -> Vec<Section<'a>> {
-        let allowed = "tables, as by [[...]]";
-        let items = self.convert(section, name, allowed, Some(&[][..]), |value| {
+        let allowed = "a list of tables, each written as [[...]]";
+        let items = self.read_field(section, name, allowed, Some(&[][..]), |value| {
             value.as_array().map(|items| &items[..])
         });
         let mut tables = Vec::new();
         for (index, item) in items.unwrap_or_default().iter().enumerate() {
             let offset = item.span().start;
             let Some(table) = item.get_ref().as_table() else {
-                let displayed = display_value(item.get_ref());
-                let why = format!("holds {displayed}; allowed: tables");
-                self.add_problem(offset, section.path(name), why);
+                let displayed_value = display_value(item.get_ref());
+                let why = format!("holds {displayed_value}; allowed: tables");
+                self.add_problem(offset, section.field_path(name), why);
                 continue;
             };
             tables.push(Section {
@@ -251,14 +253,14 @@
         tables
     }
 
-    /// A table; `None` if it is absent. A value of another type is reported.
+    /// Reads a table; `None` if the field is absent or not a table. A value of another type is reported.
     pub fn section<'a>(&mut self, section: Section<'a>, name: &'a str) -> Option<Section<'a>> {
-        let value = section.find(name)?;
+        let value = section.find_field(name)?;
         let offset = value.span().start;
         let Some(table) = value.get_ref().as_table() else {
-            let displayed = display_value(value.get_ref());
-            let why = format!("is {displayed}; allowed: a table");
-            self.add_problem(offset, section.path(name), why);
+            let displayed_value = display_value(value.get_ref());
+            let why = format!("is {displayed_value}; allowed: a table");
+            self.add_problem(offset, section.field_path(name), why);
             return None;
         };
         Some(Section {
--- a/crates/toml_config/src/lib_tests.rs
+++ b/crates/toml_config/src/lib_tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// All messages about a text.
+/// The messages of all problems of a text.
 fn messages(text: &str) -> Vec<String> {
     let result = read(text, |reader, top| {
         reader.reject_unknown_fields(top, &["name", "most", "kind", "part", "item"]);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn text_without_mistakes_is_read() {
+fn valid_text_has_no_problems() {
     assert_eq!(messages("name = \"x\""), [""; 0]);
     assert_eq!(
         messages("name = \"x\"\nmost = 9\nkind = \"b\"\n[part]\nsize = 0\n[[item]]\nname = \"y\""),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_mistake_is_reported_with_line_field_and_allowed_values() {
+fn every_problem_is_reported_with_line_field_and_allowed_values() {
     let text = "nam = 1\nmost = 10\nkind = \"c\"\n[part]\nsize = 1.5\n[[item]]\n[[item]]\nname = \"bad\"\n";
     let expected = [
         "line 1: nam: is no known field; name?; allowed: name, most, kind, part, item",
