--- a/crates/fleet_model/examples/cold_servers.rs
+++ b/crates/fleet_model/examples/cold_servers.rs
@@ -1,6 +1,6 @@
-//! Counts what all nodes together send to each warming server, beside what the settings allow it, by number of nodes: a zone
-//! with half of the servers returns with empty caches, and then three in ten nodes restart. Draws the most loaded server as
-//! well if a file is named.
+//! Compares the requests that all nodes together send to each warming server with the number that the settings allow, by
+//! number of nodes. In each run a zone with half of the servers returns with empty caches, and then three in ten nodes restart.
+//! Also draws the load of the most loaded server into an SVG file if one is given as argument.
 //!
 //!     cargo run --release -p sloewick-fleet-model --example cold_servers
 //!     cargo run --release -p sloewick-fleet-model --example cold_servers -- docs/cold-servers.svg
@@ -24,30 +24,32 @@
 };
 use support::{Chart, Line, ReferenceLine};
 
-/// Numbers of nodes of the fleets.
+/// Numbers of nodes for which the fleet is run.
 const FLEET_SIZES: [usize; 5] = [3, 20, 30, 100, 300];
 const SERVERS: usize = 40;
-/// Requests per second, whatever the number of nodes: 15 at a server.
+/// Requests per second at all nodes together, for each fleet size: 15 per server.
 const REQUEST_RATE: f64 = 600.0;
 const KEYS: f64 = 3_000.0;
-/// When the zone returns.
+/// Time at which the zone returns.
 const ZONE_RETURN: Micros = 8 * SECOND;
-/// When some of the nodes restart.
+/// Time at which some of the nodes restart.
 const NODE_RESTART: Micros = 14 * SECOND;
 const END: Micros = 28 * SECOND;
+/// Time from sending a request to its answer; the same for all servers.
 const LATENCY: Micros = 20_000;
 const REQUEST_BUDGET: Micros = 400_000;
 const SEEDS: u64 = 5;
-/// Every fifth node receives so many times the requests of another.
+/// Every fifth node is busy and receives this multiple of the requests of another node.
 const BUSY_NODE_LOAD: f64 = 4.0;
-/// Times between two counts.
+/// Time between two counts.
 const COUNT_INTERVAL: Micros = SECOND / 4;
 
-/// Servers with odd numbers are in the zone that returns.
+/// Whether a server is in the zone that returns; servers with odd numbers are.
 fn in_returning_zone(server: usize) -> bool {
     server % 2 == 1
 }
 
+/// The complete endpoint list, before or after the zone has returned.
 fn endpoint_list(returned: bool) -> Arc<[Endpoint]> {
     (0..SERVERS)
         .map(|server| Endpoint {
@@ -58,7 +60,7 @@
         .collect()
 }
 
-/// An answer on its way; answers are ordered by their time.
+/// A server's answer in flight to a node, ordered by the time of its arrival.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Answer {
     at: Micros,
@@ -67,7 +69,7 @@
     server: usize,
 }
 
-/// A fleet under way.
+/// A simulated fleet and its state at the current virtual time.
 struct Fleet {
     settings: Settings,
     seed: u64,
@@ -76,8 +78,8 @@
     node_loads: Vec<f64>,
     rng: StdRng,
     answers: BinaryHeap<Reverse<Answer>>,
-    /// When requests were sent to each server.
-    sent: Vec<Vec<Micros>>,
+    /// Times at which requests were sent, by server.
+    send_times: Vec<Vec<Micros>>,
     requests: usize,
     next_arrival: Micros,
     zone_returned: bool,
@@ -98,7 +100,7 @@
             node_loads: (0..nodes).map(load).collect(),
             rng: StdRng::seed_from_u64(seed),
             answers: BinaryHeap::new(),
-            sent: vec![Vec::new(); SERVERS],
+            send_times: vec![Vec::new(); SERVERS],
             requests: 0,
             next_arrival: 0,
             zone_returned: false,
@@ -115,27 +117,28 @@
         start_balancer(&self.settings, node, seed, now, endpoints)
     }
 
-    fn play(mut self) -> Sent {
-        let key_popularity = Zipf::new(KEYS, 1.0).expect("a valid law");
+    fn run(mut self) -> SendTimes {
+        let key_distribution =
+            Zipf::new(KEYS, 1.0).expect("at least one key and a Zipf exponent of at least 0");
         loop {
             let answer = self.answers.peek().map(|Reverse(answer)| answer.at);
             let now = answer.map_or(self.next_arrival, |at| self.next_arrival.min(at));
             if now >= END {
-                return Sent {
+                return SendTimes {
                     settings: self.settings,
-                    times: self.sent,
+                    by_server: self.send_times,
                 };
             }
             self.apply_changes(now);
             if now < self.next_arrival {
-                self.next_answer(now);
+                self.handle_next_answer(now);
             } else {
-                self.request_arrives(now, &key_popularity);
+                self.handle_arrival(now, &key_distribution);
             }
         }
     }
 
-    /// Returns the zone and restarts nodes, each once.
+    /// Lets the zone return and restarts nodes, each once when its time has come.
     fn apply_changes(&mut self, now: Micros) {
         if now >= ZONE_RETURN && !std::mem::replace(&mut self.zone_returned, true) {
             for node in &mut self.nodes {
@@ -150,7 +153,7 @@
         }
     }
 
-    fn next_answer(&mut self, now: Micros) {
+    fn handle_next_answer(&mut self, now: Micros) {
         let Some(Reverse(answer)) = self.answers.pop() else {
             return;
         };
@@ -167,7 +170,7 @@
         self.nodes[answer.node].handle(now, event, &mut Vec::new());
     }
 
-    fn request_arrives(&mut self, now: Micros, key_popularity: &Zipf<f64>) {
+    fn handle_arrival(&mut self, now: Micros, key_distribution: &Zipf<f64>) {
         let gap: f64 = Exp1.sample(&mut self.rng);
         self.next_arrival += (gap / REQUEST_RATE * SECOND as f64) as Micros + 1;
         self.requests += 1;
@@ -176,7 +179,7 @@
             id: format!("r{}", self.requests).into(),
             class: 0,
             tenant: None,
-            key: Some(format!("k{}", key_popularity.sample(&mut self.rng)).into()),
+            key: Some(format!("k{}", key_distribution.sample(&mut self.rng)).into()),
             budget: REQUEST_BUDGET,
             work: None,
             size: None,
@@ -188,7 +191,7 @@
         for action in actions {
             if let Action::Send { server, .. } = action {
                 let server = server_number(&server);
-                self.sent[server].push(now);
+                self.send_times[server].push(now);
                 self.answers.push(Reverse(Answer {
                     at: now + LATENCY,
                     node,
@@ -211,22 +214,24 @@
     }
 }
 
-/// What a fleet has sent.
-struct Sent {
+/// The requests that a fleet has sent to its servers.
+struct SendTimes {
     settings: Settings,
-    /// When requests were sent to each server.
-    times: Vec<Vec<Micros>>,
+    /// Times at which requests were sent, by server.
+    by_server: Vec<Vec<Micros>>,
 }
 
-/// What each warming server was sent within the overload window before a time.
+/// Number of requests that were sent to each warming server within the overload window before a time.
 struct WindowCounts {
+    /// End of the window.
     end: Micros,
-    /// By server, in ascending order.
-    sums: Vec<f64>,
+    /// One count per server, in ascending order of the counts.
+    sorted_counts: Vec<f64>,
 }
 
-impl Sent {
-    /// What the settings allow a warming server within the overload window, in proportion to what an average one is sent.
+impl SendTimes {
+    /// Number of requests that the settings allow a warming server within the overload window: the number that an average
+    /// server is sent in that time, times the warming server's current fraction of its capacity, times the overload multiple.
     fn budget(&self, now: Micros) -> f64 {
         let settings = &self.settings;
         let warm_up = (now - ZONE_RETURN) as f64 / settings.warm_up_time as f64;
@@ -237,73 +242,80 @@
             / SERVERS as f64
     }
 
+    /// Counts within the overload window that ends at `end`, without the time before the zone's return.
     fn window_counts(&self, end: Micros) -> WindowCounts {
         let start = (end - self.settings.overload_window).max(ZONE_RETURN);
         let count = |times: &Vec<Micros>| {
             (times.partition_point(|at| *at <= end) - times.partition_point(|at| *at <= start))
                 as f64
         };
-        let warming = self.times.iter().enumerate();
-        let mut sums: Vec<f64> = warming
+        let warming = self.by_server.iter().enumerate();
+        let mut sorted_counts: Vec<f64> = warming
             .filter(|(server, _)| in_returning_zone(*server))
             .map(|(_, times)| count(times))
             .collect();
-        sums.sort_by(f64::total_cmp);
-        WindowCounts { end, sums }
+        sorted_counts.sort_by(f64::total_cmp);
+        WindowCounts { end, sorted_counts }
     }
 }
 
 /// The most loaded server at one time.
-struct Point {
-    /// Since the zone has returned.
+struct MostLoadedPoint {
+    /// Time since the zone returned, in seconds.
     seconds: f64,
-    /// Its sum over its budget.
+    /// Its count as a multiple of the budget.
     most_loaded: f64,
-    /// The budget with a margin for chance, over the budget.
+    /// The allowed count, which is the budget with a margin for random variation, as a multiple of the budget.
     allowed: f64,
 }
 
-/// Counts of all seeds at one fleet size.
+/// Results of all seeds at one fleet size.
 #[derive(Default)]
 struct FleetResult {
     nodes: usize,
-    points: Vec<Point>,
-    /// Largest sum over what is allowed.
-    max_used: f64,
-    exceeded: usize,
-    counted: usize,
-    median_sent: f64,
-    /// What an average server is sent, times the capacity of a warming one.
-    median_capacity: f64,
+    points: Vec<MostLoadedPoint>,
+    /// Largest count as a fraction of the allowed count.
+    max_allowed_fraction: f64,
+    /// Number of counts above the allowed count.
+    exceeded_counts: usize,
+    /// Number of all counts.
+    total_counts: usize,
+    /// Sum of the medians over the servers.
+    median_sent_sum: f64,
+    /// Sum of the counts of an average server, each times the fraction of its capacity that a warming server then has.
+    average_capacity_sum: f64,
 }
 
 impl FleetResult {
-    fn play(nodes: usize) -> FleetResult {
+    fn run(nodes: usize) -> FleetResult {
         let mut result = FleetResult {
             nodes,
             ..FleetResult::default()
         };
         for seed in 1..=SEEDS {
-            let sent = Fleet::new(nodes, seed).play();
+            let send_times = Fleet::new(nodes, seed).run();
             let times = (ZONE_RETURN + COUNT_INTERVAL..END).step_by(COUNT_INTERVAL as usize);
             for (number, end) in times.enumerate() {
-                result.add(number, &sent.window_counts(end), &sent);
+                result.add(number, &send_times.window_counts(end), &send_times);
             }
         }
         result
     }
 
-    fn add(&mut self, number: usize, counts: &WindowCounts, sent: &Sent) {
-        let sums = &counts.sums;
-        let budget = sent.budget(counts.end);
+    fn add(&mut self, number: usize, counts: &WindowCounts, send_times: &SendTimes) {
+        let sorted_counts = &counts.sorted_counts;
+        let budget = send_times.budget(counts.end);
         let allowed = budget + 2.0 * budget.sqrt() + 2.0;
-        let most_loaded = sums[sums.len() - 1];
-        self.max_used = self.max_used.max(most_loaded / allowed);
-        self.exceeded += sums.iter().filter(|sum| **sum > allowed).count();
-        self.counted += sums.len();
-        self.median_sent += sums[sums.len() / 2];
-        self.median_capacity += budget / sent.settings.overload_multiple;
-        let point = Point {
+        let most_loaded = sorted_counts[sorted_counts.len() - 1];
+        self.max_allowed_fraction = self.max_allowed_fraction.max(most_loaded / allowed);
+        self.exceeded_counts += sorted_counts
+            .iter()
+            .filter(|count| **count > allowed)
+            .count();
+        self.total_counts += sorted_counts.len();
+        self.median_sent_sum += sorted_counts[sorted_counts.len() / 2];
+        self.average_capacity_sum += budget / send_times.settings.overload_multiple;
+        let point = MostLoadedPoint {
             seconds: (counts.end - ZONE_RETURN) as f64 / SECOND as f64,
             most_loaded: most_loaded / budget,
             allowed: allowed / budget,
@@ -316,13 +328,13 @@
 
     fn print(&self) {
         println!(
-            "{:4} nodes: most loaded {:.2} of what is allowed, exceeded in {} of {}; \
+            "{:4} nodes: the most loaded warming server is sent {:.2} of the allowed count; {} of {} counts exceed it; \
              the median one is sent {:.2} of an average server's load, in proportion to its capacity",
             self.nodes,
-            self.max_used,
-            self.exceeded,
-            self.counted,
-            self.median_sent / self.median_capacity
+            self.max_allowed_fraction,
+            self.exceeded_counts,
+            self.total_counts,
+            self.median_sent_sum / self.average_capacity_sum
         );
     }
 }
@@ -343,14 +355,14 @@
     });
     let allowed = results[0].points.iter();
     let chart = Chart {
-        caption: "What the most loaded warming server is sent by all nodes",
-        x_description: "seconds since it started; three in ten nodes restart at 6",
-        y_description: "sum within 2 s, over the budget N",
+        caption: "Requests sent to the most loaded warming server by all nodes",
+        x_description: "seconds since the start of the servers; three in ten nodes restart at 6",
+        y_description: "requests within 2 s, as a multiple of the budget N",
         x_max: points().map(|point| point.seconds).fold(0.0, f64::max),
         y_max,
         lines: lines.collect(),
         reference: ReferenceLine {
-            label: Some("N + 2 root of N + 2"),
+            label: Some("N + 2 sqrt(N) + 2"),
             points: allowed
                 .map(|point| (point.seconds, point.allowed))
                 .collect(),
@@ -363,7 +375,7 @@
 fn main() -> Result<(), Box<dyn Error>> {
     let mut results = Vec::new();
     for nodes in FLEET_SIZES {
-        let result = FleetResult::play(nodes);
+        let result = FleetResult::run(nodes);
         result.print();
         results.push(result);
     }
--- a/crates/fleet_model/examples/load.rs
+++ b/crates/fleet_model/examples/load.rs
@@ -1,5 +1,6 @@
-//! Prints what a fleet serves under loads up to eight times the usual, beside the omniscient policy, and for which reasons the
-//! balancers rejected the rest. Draws it as well if a file is named.
+//! Prints the priority weight that a fleet serves under loads of up to eight times the default, compared with the omniscient
+//! policy, and the reasons for which the balancers rejected requests. Also draws the served weight into an SVG file if one is
+//! given as argument.
 //!
 //!     cargo run --release -p sloewick-fleet-model --example load
 //!     cargo run --release -p sloewick-fleet-model --example load -- docs/overload-load.svg
@@ -11,18 +12,20 @@
 use sloewick_fleet_model::{Model, Policy, SecondCounts, Site};
 use support::{Chart, Line, ReferenceLine};
 
-/// Multiples of the usual load.
+/// Multiples of the default load.
 const LOADS: [f64; 10] = [0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0, 5.0, 6.0, 8.0];
 const SECONDS: usize = 40;
-/// First second that is counted; before it the nodes have just started.
+/// First second that is counted; the seconds before it are left out because the nodes have just started.
 const FIRST_SECOND: usize = 10;
 const SEEDS: u64 = 2;
 
-/// Priority weight per second at one load.
+/// Result of one policy at one load; the means over the seeds.
 struct LoadResult {
-    /// Multiple of the usual load.
+    /// Multiple of the default load.
     load: f64,
+    /// Priority weight per second.
     offered: f64,
+    /// Priority weight per second.
     served: f64,
 }
 
@@ -32,7 +35,7 @@
     results: Vec<LoadResult>,
 }
 
-fn play(site: &Site, policy: Policy, load: f64) -> LoadResult {
+fn run_seeds(site: &Site, policy: Policy, load: f64) -> LoadResult {
     let mut offered = 0;
     let mut served = 0;
     for seed in 1..=SEEDS {
@@ -41,7 +44,7 @@
             ..site.clone()
         };
         let mut model = Model::new(site, policy, seed);
-        model.play(SECONDS);
+        model.run(SECONDS);
         let counts: SecondCounts = model.seconds[FIRST_SECOND..].iter().sum();
         offered += counts.offered_weight;
         served += counts.served_weight;
@@ -59,10 +62,10 @@
     }
 }
 
-fn play_series(name: &'static str, site: &Site, policy: Policy) -> Series {
+fn run_series(name: &'static str, site: &Site, policy: Policy) -> Series {
     Series {
         name,
-        results: LOADS.map(|load| play(site, policy, load)).into(),
+        results: LOADS.map(|load| run_seeds(site, policy, load)).into(),
     }
 }
 
@@ -76,7 +79,7 @@
     let offered = all[0].results.iter().map(|r| (r.load, r.offered));
     let chart = Chart {
         caption: "Priority weight served by load",
-        x_description: "load, multiple of the usual",
+        x_description: "load, multiple of the default",
         y_description: "priority weight per second",
         x_max: 8.2,
         y_max,
@@ -93,16 +96,16 @@
 }
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let usual = Site::default();
+    let default_site = Site::default();
     let without_writes = Site {
         write_fraction: 0.0,
         ..Site::default()
     };
     let all = [
-        play_series("nodes", &usual, Policy::Balancer),
-        play_series("omniscient", &usual, Policy::Omniscient),
-        play_series("nodes, no writes", &without_writes, Policy::Balancer),
-        play_series("omniscient, no writes", &without_writes, Policy::Omniscient),
+        run_series("nodes", &default_site, Policy::Balancer),
+        run_series("omniscient", &default_site, Policy::Omniscient),
+        run_series("nodes, no writes", &without_writes, Policy::Balancer),
+        run_series("omniscient, no writes", &without_writes, Policy::Omniscient),
     ];
     println!(
         "priority weight per second, seconds {FIRST_SECOND} to {SECONDS}, mean of {SEEDS} seeds"
--- a/crates/fleet_model/examples/origin_overload.rs
+++ b/crates/fleet_model/examples/origin_overload.rs
@@ -1,4 +1,4 @@
-//! Prints what a fleet serves while its origin is slow, and after; and under loads of half to four times the usual.
+//! Prints what a fleet serves while its origin is slow and afterwards, and under loads of half to four times the default.
 //!
 //!     cargo run --release -p sloewick-fleet-model --example origin_overload
 
@@ -6,17 +6,17 @@
 
 const SEEDS: u64 = 4;
 const SECONDS: usize = 30;
-/// Multiples of the usual load.
+/// Multiples of the default load.
 const LOADS: [f64; 7] = [0.5, 1.0, 1.5, 2.0, 2.5, 3.0, 4.0];
 const LOAD_SECONDS: usize = 60;
-/// First second that is counted under a load; before it the nodes have just started.
+/// First second that is counted under a load; the seconds before it are left out because the nodes have just started.
 const FIRST_LOAD_SECOND: usize = 20;
 
-/// Served fraction of the priority weight, by second: the mean of all seeds.
-fn mean_served(policy: Policy, site: &Site) -> Vec<f64> {
+/// Returns the served fraction of the priority weight by second, as the mean of all seeds.
+fn mean_served_fractions(policy: Policy, site: &Site) -> Vec<f64> {
     let mut mean = vec![0.0; SECONDS];
     for seed in 1..=SEEDS {
-        let served = Model::new(site.clone(), policy, seed).play(SECONDS);
+        let served = Model::new(site.clone(), policy, seed).run(SECONDS);
         for (mean, fraction) in mean.iter_mut().zip(served) {
             *mean += fraction / SEEDS as f64;
         }
@@ -25,7 +25,7 @@
 }
 
 fn print_by_second(name: &str, policy: Policy, site: &Site) {
-    let served = mean_served(policy, site);
+    let served = mean_served_fractions(policy, site);
     let percentages: Vec<String> = served
         .iter()
         .map(|fraction| format!("{:4.0}", fraction * 100.0))
@@ -44,7 +44,7 @@
         ..Site::default()
     };
     let mut model = Model::new(site, Policy::Balancer, 1);
-    model.play(LOAD_SECONDS);
+    model.run(LOAD_SECONDS);
     let counts: SecondCounts = model.seconds[FIRST_LOAD_SECOND..].iter().sum();
     let seconds = (LOAD_SECONDS - FIRST_LOAD_SECOND) as u32;
     println!(
--- a/crates/fleet_model/examples/support/mod.rs
+++ b/crates/fleet_model/examples/support/mod.rs
@@ -1,26 +1,26 @@
-//! Line charts of the examples, as SVG files.
+//! Line charts for the examples, written as SVG files.
 
 use std::error::Error;
 
 use plotters::prelude::*;
 
 /// Size of a chart, in pixels.
-const SIZE: (u32, u32) = (760, 440);
-/// Length of a line in the legend, in pixels.
-const LEGEND_LINE: i32 = 20;
+const CHART_SIZE: (u32, u32) = (760, 440);
+/// Length of a line's sample in the legend, in pixels.
+const LEGEND_SAMPLE_LENGTH: i32 = 20;
 
-/// A line of a chart, in a colour of the palette.
+/// A line of a chart, drawn in the next colour of the palette.
 pub(crate) struct Line {
     pub(crate) label: String,
     pub(crate) points: Vec<(f64, f64)>,
 }
 
-/// A thin grey line to compare the others with.
+/// A thin grey line with which the other lines are compared.
 pub(crate) struct ReferenceLine {
-    /// Its text in the legend, if it has one there.
+    /// Text in the legend; None: the line is not in the legend.
     pub(crate) label: Option<&'static str>,
     pub(crate) points: Vec<(f64, f64)>,
-    /// From 0 to 1.
+    /// Opacity of the black line, from 0 (invisible) to 1.
     pub(crate) opacity: f64,
 }
 
@@ -42,7 +42,7 @@
     ///
     /// If the file cannot be written.
     pub(crate) fn write_svg(self, file: &str) -> Result<(), Box<dyn Error>> {
-        let area = SVGBackend::new(file, SIZE).into_drawing_area();
+        let area = SVGBackend::new(file, CHART_SIZE).into_drawing_area();
         area.fill(&WHITE)?;
         let mut chart = ChartBuilder::on(&area)
             .caption(self.caption, ("sans-serif", 20))
@@ -60,14 +60,14 @@
             chart
                 .draw_series(LineSeries::new(line.points, style))?
                 .label(line.label)
-                .legend(move |start| legend_line(start, style));
+                .legend(move |start| legend_sample(start, style));
         }
         let style = ShapeStyle::from(BLACK.mix(self.reference.opacity));
         let drawn = chart.draw_series(LineSeries::new(self.reference.points, style))?;
         if let Some(label) = self.reference.label {
             drawn
                 .label(label)
-                .legend(move |start| legend_line(start, style));
+                .legend(move |start| legend_sample(start, style));
         }
         chart
             .configure_series_labels()
@@ -79,6 +79,7 @@
     }
 }
 
-fn legend_line((x, y): (i32, i32), style: ShapeStyle) -> PathElement<(i32, i32)> {
-    PathElement::new([(x, y), (x + LEGEND_LINE, y)], style)
+/// Draws the sample of a line in the legend.
+fn legend_sample((x, y): (i32, i32), style: ShapeStyle) -> PathElement<(i32, i32)> {
+    PathElement::new([(x, y), (x + LEGEND_SAMPLE_LENGTH, y)], style)
 }
--- a/crates/fleet_model/src/attempt.rs
+++ b/crates/fleet_model/src/attempt.rs
@@ -1,35 +1,35 @@
-//! Attempts: one copy of a request at one server, and the request that it belongs to while that is pending.
+//! Attempts to serve a request, each at one server, and the requests that have no final response yet.
 
 use sloewick_decision::api::{Micros, RequestId};
 
-/// Index of an attempt in the model's list of attempts.
+/// Index of an attempt in the model's list of all attempts.
 pub(crate) type AttemptIndex = usize;
 
-/// Where an attempt is.
+/// How far an attempt has progressed at its server.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Stage {
-    /// It waits at its server.
+pub(crate) enum AttemptStage {
+    /// The attempt waits for the server's core.
     Queued,
-    /// The core of its server works on it.
-    Working,
-    /// Its server waits for the origin.
+    /// The server's core processes the attempt.
+    Processing,
+    /// The server waits for the origin's answer.
     AtOrigin,
-    /// Its server has answered, or has dropped it.
+    /// The server has answered the attempt, or the attempt was cancelled.
     Done,
 }
 
-/// A copy of a request that was sent to a server.
+/// A request as sent to one server.
 pub(crate) struct Attempt {
     pub(crate) node: usize,
     pub(crate) request: RequestId,
-    /// Number among the attempts of its request, from 0 on.
+    /// Position among the attempts of the same request, from 0.
     pub(crate) number: usize,
     pub(crate) server: usize,
     pub(crate) key: usize,
     pub(crate) write: bool,
     pub(crate) sent_at: Micros,
-    pub(crate) stage: Stage,
-    /// Whether its node still waits for an answer.
+    pub(crate) stage: AttemptStage,
+    /// Whether the node still waits for an answer to this attempt.
     pub(crate) awaited: bool,
 }
 
@@ -39,7 +39,7 @@
     pub(crate) write: bool,
     pub(crate) key: usize,
     pub(crate) arrived_at: Micros,
-    /// Whether it is the client's first request, not its retry.
-    pub(crate) first: bool,
+    /// True for a client's first request, false for the client's retry.
+    pub(crate) first_try: bool,
     pub(crate) attempts: Vec<AttemptIndex>,
 }
--- a/crates/fleet_model/src/event_queue.rs
+++ b/crates/fleet_model/src/event_queue.rs
@@ -1,6 +1,7 @@
-//! The events of a run in order of their virtual time; events of the same time come in the order in which they were scheduled.
+//! The scheduled events of a run in order of virtual time; events at the same time are taken in the order in which they were
+//! scheduled.
 //!
-//! Owns the scheduled events and the serial number from which events and requests are numbered.
+//! The queue also owns the counter from which both events and requests get their serial numbers.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -9,59 +10,60 @@
 
 use crate::attempt::AttemptIndex;
 
-/// Something that happens in the fleet at its time.
+/// An event in the fleet at a scheduled time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FleetEvent {
-    /// A client's request arrives.
+    /// A client's first request arrives at a node.
     Arrival,
-    /// A client whose read of this key was rejected retries.
+    /// A client retries its rejected or failed read of this key.
     ClientRetry(usize),
-    /// Nodes restart.
+    /// The nodes of [`Site::node_restart`](crate::site::Site::node_restart) restart.
     NodeRestart,
     /// A timer of a node expires.
     NodeTimer { node: usize, token: u64 },
-    /// A server's core has finished an attempt; stale if the core's run has another number by then.
-    WorkDone { server: usize, run: u64 },
-    /// A node's timeout for an attempt has passed.
+    /// A server's core has finished its work on an attempt; stale if `work_serial` is no longer the core's current work.
+    WorkDone { server: usize, work_serial: u64 },
+    /// A node's timeout for an attempt expires.
     AttemptTimeout(AttemptIndex),
-    /// A server no longer waits for a fetch.
+    /// A server's timeout for a fetch or write at the origin expires.
     FetchTimeout(AttemptIndex),
     /// The origin has finished the fetch or write at the head of its queue.
     OriginDone,
-    /// The origin's answer arrives at the server.
+    /// The origin's answer to a fetch or write arrives at the server.
     FetchDone(AttemptIndex),
 }
 
-/// Scheduled events.
+/// Priority queue of scheduled events, with cancellation.
 #[derive(Default)]
 pub(crate) struct EventQueue {
-    times: BinaryHeap<Reverse<(Micros, u64)>>,
-    /// Events by serial number; a cancelled one is absent here, its time stays in `times`.
+    /// Time and serial number of each event, including cancelled ones; the earliest first.
+    due_times: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// Events by serial number. A cancelled event is removed here only; its entry in `due_times` is skipped later.
     events: HashMap<u64, FleetEvent>,
     last_serial: u64,
 }
 
 impl EventQueue {
-    /// Takes the next serial number, from 1 on.
+    /// Returns the next serial number; the first is 1.
     pub(crate) fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
     }
 
-    /// Schedules an event.
+    /// Schedules an event at a point of virtual time.
     pub(crate) fn schedule(&mut self, at: Micros, event: FleetEvent) {
         let serial = self.next_serial();
         self.events.insert(serial, event);
-        self.times.push(Reverse((at, serial)));
+        self.due_times.push(Reverse((at, serial)));
     }
 
-    /// Takes the next event before `end`, with its time.
+    /// Removes and returns the next event with its time. Returns None if no event is due before `end`.
     pub(crate) fn pop_before(&mut self, end: Micros) -> Option<(Micros, FleetEvent)> {
-        while let Some(Reverse((at, serial))) = self.times.peek().copied() {
+        while let Some(Reverse((at, serial))) = self.due_times.peek().copied() {
             if at >= end {
                 return None;
             }
-            self.times.pop();
+            self.due_times.pop();
             if let Some(event) = self.events.remove(&serial) {
                 return Some((at, event));
             }
--- a/crates/fleet_model/src/lib.rs
+++ b/crates/fleet_model/src/lib.rs
@@ -1,20 +1,21 @@
-//! A model of the fleet that sloewick balances: many nodes, each with its own [`Balancer`](sloewick_decision::Balancer), cache
-//! servers with one core each, and the origin that all of them share. It exchanges events instead of bytes, runs on virtual
-//! time and draws everything from a seed, so that the same seed gives the same run. It evaluates decisions at sizes that
-//! sockets do not reach; what it finds is confirmed on sockets.
+//! A discrete-event simulation of the fleet that sloewick balances: many nodes, each with its own
+//! [`Balancer`](sloewick_decision::Balancer), cache servers with one core each, and the origin that all servers share. The
+//! components exchange events instead of bytes. The simulation runs on virtual time and draws all random numbers from one
+//! seed, so that the same seed gives the same run. It evaluates the decision code at fleet sizes that tests over sockets
+//! cannot reach; its findings are confirmed by tests over sockets.
 //!
-//! Modelled: queues and work at servers, handshakes, fetches with a timeout that are cancelled or completed after the client
-//! has disconnected, fetch slots, an origin that answers in order and completes work that no client awaits, writes that
-//! invalidate cached copies, clients that retry.
+//! Modelled: queues and work at the servers; handshakes; fetches with a timeout, which are cancelled or are completed after the
+//! client has disconnected; fetch slots; an origin that answers in order and completes work that no client awaits; writes that
+//! invalidate cached copies; clients that retry.
 //!
-//! Not modelled: discovery, zones, connection limits, bytes.
+//! Not modelled: discovery, zones, connection limits, message sizes.
 //!
-//! - [`site`](Site): the sizes of a fleet and the faults of a run;
-//! - [`node`](start_balancer): balancers of the nodes, and names of servers;
+//! - [`site`](Site): the configuration of a fleet, with the faults of a run;
+//! - [`node`](start_balancer): the nodes' balancers, and the ids of servers;
 //! - `server`: queue, core, cache and connections of a cache server;
-//! - `attempt`: copies of a request at servers, and requests without a final response;
-//! - `event_queue`: events in order of their time;
-//! - [`model`](Model): the run itself.
+//! - `attempt`: attempts at servers, and pending requests;
+//! - `event_queue`: scheduled events, in order of virtual time;
+//! - [`model`](Model): the simulation, which handles one event after another.
 
 mod attempt;
 mod event_queue;
--- a/crates/fleet_model/src/model.rs
+++ b/crates/fleet_model/src/model.rs
@@ -1,9 +1,9 @@
-//! A run of the fleet, one event at a time.
+//! The simulation of the fleet, which handles one event after another.
 //!
-//! [`Model`] owns the virtual time, the generator, all nodes, servers, attempts and pending requests, and what was counted.
-//! `requests` takes requests and their attempts from arrival to the final response, `upstream` moves attempts through
-//! servers and origin, and `omniscient` is the policy with complete information. Generator draws happen in the order of
-//! events, so that a run follows from its [`Site`], its [`Policy`] and its seed.
+//! [`Model`] owns the virtual time, the random number generator, all nodes, servers, attempts and pending requests, and the
+//! counts. `requests` takes requests and their attempts from arrival to the final response, `upstream` moves attempts through
+//! servers and origin, and `omniscient` is the policy with complete information. Random numbers are drawn in the order of
+//! events, so that a run is determined by its [`Site`], its [`Policy`] and its seed.
 
 mod omniscient;
 mod requests;
@@ -19,47 +19,48 @@
 use sloewick_decision::api::{Endpoint, Event, Micros, RequestId, Status};
 use sloewick_decision::Balancer;
 
-use crate::attempt::{Attempt, AttemptIndex, PendingRequest, Stage};
+use crate::attempt::{Attempt, AttemptIndex, AttemptStage, PendingRequest};
 use crate::event_queue::{EventQueue, FleetEvent};
 use crate::node::{endpoint, start_balancer};
 use crate::server::Server;
 use crate::site::{class_limits, Site, MICROS_PER_SECOND};
 
-/// Seed of the balancers of restarted nodes.
+/// Seed from which the balancers of restarted nodes derive their seeds.
 const RESTART_SEED: u64 = 1 << 32 | 7;
 
-/// Who decides, for comparison.
+/// The policy that decides on requests. Runs with different policies are compared with each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// The nodes' balancers.
     Balancer,
-    /// The nodes' balancers, but every attempt ends with its request: connections are closed at the final response, whatever
-    /// is being fetched.
+    /// The nodes' balancers, but a rejection or failure of a request closes the connections of all its attempts, including
+    /// those that wait for a fetch.
     CancelFetches,
-    /// One policy that knows every queue, every cache and the origin, and sends only what can be answered in time. No real
-    /// policy can; it is an upper bound on what could have been served.
+    /// One policy for all nodes with complete information on all queues, all caches and the origin, which sends only requests
+    /// that can be answered in time. No real policy has this information; what this one serves is an upper bound for the
+    /// others.
     Omniscient,
 }
 
-/// What was counted in one second.
+/// Counts of one second of virtual time.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SecondCounts {
-    /// Requests of clients, without their retries.
+    /// Requests of clients that arrived, without the clients' retries.
     pub offered: u32,
     /// Requests answered within their latency objective.
     pub served: u32,
-    /// Of them, fetched from the origin or written to it.
-    pub from_origin: u32,
-    /// Requests rejected or failed.
+    /// Served requests that were fetched from the origin or written to it.
+    pub served_from_origin: u32,
+    /// Requests whose final response was a rejection or a failure.
     pub rejected: u32,
-    /// Priority weight of what was offered: 10 for a write, 1 for a read.
+    /// Priority weight of the offered requests: 10 for a write, 1 for a read.
     pub offered_weight: u32,
-    /// Priority weight of what was served within its latency objective.
+    /// Priority weight of the served requests.
     pub served_weight: u32,
-    /// Attempts sent.
+    /// Attempts that were sent to servers.
     pub attempts: u32,
-    /// Fetches and writes that the origin completed after their server had ceased to wait.
-    pub unawaited_fetches: u32,
+    /// Fetches and writes that the origin completed after their server had stopped waiting for them.
+    pub abandoned_fetches: u32,
 }
 
 impl<'a> Sum<&'a SecondCounts> for SecondCounts {
@@ -67,54 +68,54 @@
         seconds.fold(SecondCounts::default(), |sum, second| SecondCounts {
             offered: sum.offered + second.offered,
             served: sum.served + second.served,
-            from_origin: sum.from_origin + second.from_origin,
+            served_from_origin: sum.served_from_origin + second.served_from_origin,
             rejected: sum.rejected + second.rejected,
             offered_weight: sum.offered_weight + second.offered_weight,
             served_weight: sum.served_weight + second.served_weight,
             attempts: sum.attempts + second.attempts,
-            unawaited_fetches: sum.unawaited_fetches + second.unawaited_fetches,
+            abandoned_fetches: sum.abandoned_fetches + second.abandoned_fetches,
         })
     }
 }
 
-/// A fleet under way.
+/// A simulated fleet and its state at the current virtual time.
 pub struct Model {
     site: Site,
     policy: Policy,
     rng: StdRng,
-    key_popularity: Zipf<f64>,
+    key_distribution: Zipf<f64>,
     now: Micros,
     events: EventQueue,
     nodes: Vec<Balancer>,
     servers: Vec<Server>,
     attempts: Vec<Attempt>,
     pending: HashMap<RequestId, PendingRequest>,
-    /// Attempts that the origin has received and not completed, in order.
+    /// Attempts whose fetch or write the origin has not completed, in order of arrival; the first one is in service.
     origin_queue: VecDeque<AttemptIndex>,
-    /// Counts by second.
+    /// Counts by second of virtual time.
     pub seconds: Vec<SecondCounts>,
-    /// Requests rejected or failed, by the balancer's reason.
+    /// Number of rejected or failed requests by the balancer's reason.
     pub reject_reasons: BTreeMap<&'static str, u32>,
-    /// Violations of the rule that each request has exactly one final response, before its deadline.
+    /// Violations of the rule that each request has exactly one final response, before its deadline, and is not sent after it.
     pub violations: u32,
 }
 
 impl Model {
-    /// A fleet whose servers have cached all keys.
+    /// Creates a fleet whose servers have cached all keys.
     ///
     /// # Panics
     ///
     /// If the site has no keys or a negative [`Site::zipf_exponent`], or if a balancer does not accept [`Site::settings`].
     pub fn new(site: Site, policy: Policy, seed: u64) -> Model {
-        let key_popularity =
-            Zipf::new(site.keys as f64, site.zipf_exponent).expect("a positive exponent");
+        let key_distribution = Zipf::new(site.keys as f64, site.zipf_exponent)
+            .expect("at least one key and a Zipf exponent of at least 0");
         let mut model = Model {
             nodes: start_nodes(&site, seed, site.nodes),
             servers: (0..site.servers)
                 .map(|_| Server::with_cached_keys(site.keys))
                 .collect(),
             rng: StdRng::seed_from_u64(seed),
-            key_popularity,
+            key_distribution,
             now: 0,
             events: EventQueue::default(),
             attempts: Vec::new(),
@@ -133,9 +134,11 @@
         model
     }
 
-    /// Plays until `seconds` of virtual time have passed since the start. Returns the fraction of the priority weight that was
-    /// served within its latency objective, by second; it may exceed one where clients retry in a later second.
-    pub fn play(&mut self, seconds: usize) -> Vec<f64> {
+    /// Runs the fleet until `seconds` of virtual time have passed since the start. Returns the fraction of the offered priority
+    /// weight that was served within its latency objective, by second. A fraction may exceed 1 because a request is counted as
+    /// offered when it first arrives and as served when it is answered, which may be in a later second, for
+    /// example after the client's retry.
+    pub fn run(&mut self, seconds: usize) -> Vec<f64> {
         let end = seconds as Micros * MICROS_PER_SECOND;
         while let Some((at, event)) = self.events.pop_before(end) {
             self.now = at;
@@ -152,7 +155,7 @@
         self.events.schedule(self.now + delay.max(0), event);
     }
 
-    /// Counts of the current second.
+    /// Returns the counts of the current second.
     fn counts(&mut self) -> &mut SecondCounts {
         let second = (self.now / MICROS_PER_SECOND) as usize;
         if self.seconds.len() <= second {
@@ -161,7 +164,7 @@
         &mut self.seconds[second]
     }
 
-    /// Draws a time from the exponential distribution.
+    /// Draws a time in microseconds from the exponential distribution with this mean.
     fn draw_exponential(&mut self, mean: f64) -> Micros {
         let drawn: f64 = Exp1.sample(&mut self.rng);
         (drawn * mean) as Micros
@@ -169,7 +172,7 @@
 
     fn handle_event(&mut self, event: FleetEvent) {
         match event {
-            FleetEvent::Arrival => self.request_arrives(),
+            FleetEvent::Arrival => self.on_arrival(),
             FleetEvent::ClientRetry(key) => {
                 let node = self.draw_node();
                 self.start_request(node, key, false, false);
@@ -178,7 +181,10 @@
             FleetEvent::NodeTimer { node, token } => {
                 self.notify_node(node, Event::TimerExpired(token));
             }
-            FleetEvent::WorkDone { server, run } => self.work_done(server, run),
+            FleetEvent::WorkDone {
+                server,
+                work_serial,
+            } => self.work_done(server, work_serial),
             FleetEvent::AttemptTimeout(attempt) => {
                 if self.attempts[attempt].awaited {
                     self.cancel_attempt(attempt);
@@ -186,7 +192,7 @@
                 }
             }
             FleetEvent::FetchTimeout(attempt) => {
-                if self.attempts[attempt].stage == Stage::AtOrigin {
+                if self.attempts[attempt].stage == AttemptStage::AtOrigin {
                     self.servers[self.attempts[attempt].server].fetches -= 1;
                     self.answer(attempt, Status::Error, None);
                 }
@@ -200,7 +206,7 @@
         self.rng.random_range(0..self.site.nodes)
     }
 
-    fn request_arrives(&mut self) {
+    fn on_arrival(&mut self) {
         let gap = self.draw_exponential(1e6 / self.site.request_rate);
         self.schedule(gap, FleetEvent::Arrival);
         let key = self.draw_key();
@@ -213,7 +219,7 @@
     }
 
     fn draw_key(&mut self) -> usize {
-        let popular = self.key_popularity.sample(&mut self.rng) as usize - 1;
+        let popular = self.key_distribution.sample(&mut self.rng) as usize - 1;
         let hot = self.site.hot_key.as_ref();
         match hot.filter(|hot| hot.period.contains(&self.now)) {
             Some(hot) if self.rng.random_bool(hot.fraction) => self.site.keys - 1,
@@ -221,7 +227,8 @@
         }
     }
 
-    /// Replaces the first nodes by new ones; their pending requests are lost and their connections end.
+    /// Restarts the first nodes: each gets a new balancer, its pending requests are lost and its awaited attempts are
+    /// cancelled.
     fn restart_nodes(&mut self) {
         let Some(restart) = self.site.node_restart else {
             return;
@@ -244,7 +251,7 @@
     }
 }
 
-/// Balancers of the first `count` nodes of a site, or of all if it has fewer.
+/// Creates the balancers of the first `count` nodes of a site, or of all nodes if it has fewer.
 fn start_nodes(site: &Site, seed: u64, count: usize) -> Vec<Balancer> {
     let settings = site.settings();
     let endpoints: Arc<[Endpoint]> = (0..site.servers).map(endpoint).collect();
--- a/crates/fleet_model/src/model/requests.rs
+++ b/crates/fleet_model/src/model/requests.rs
@@ -1,4 +1,5 @@
-//! Requests from arrival to their final response: events to the nodes' balancers, their actions, and the outcomes of attempts.
+//! Requests from arrival to final response: passes events to the nodes' balancers, applies their actions, and reports the
+//! outcomes of attempts to them.
 
 use rand::Rng;
 use sloewick_decision::api::{
@@ -6,19 +7,19 @@
 };
 
 use super::{Model, Policy};
-use crate::attempt::{Attempt, AttemptIndex, PendingRequest, Stage};
+use crate::attempt::{Attempt, AttemptIndex, AttemptStage, PendingRequest};
 use crate::event_queue::FleetEvent;
 use crate::node::{server_id, server_number};
 use crate::site::class_limits;
 
-/// Time from a rejection to the client's retry.
+/// Time from the rejection or failure of a read to the client's retry.
 const CLIENT_RETRY_DELAY: Micros = 60_000;
-/// Number of latest attempts that are searched for one whose request has its final response.
+/// Number of most recent attempts that are searched for an attempt whose request is no longer pending.
 const MAX_SEARCHED_ATTEMPTS: usize = 20_000;
 
 impl Model {
-    /// A request arrives at a node.
-    pub(super) fn start_request(&mut self, node: usize, key: usize, write: bool, first: bool) {
+    /// Starts a request that has arrived at a node. `first_try` is false for a client's retry.
+    pub(super) fn start_request(&mut self, node: usize, key: usize, write: bool, first_try: bool) {
         let id: RequestId = format!("r{}", self.events.next_serial()).into();
         let limits = class_limits(write);
         let pending = PendingRequest {
@@ -26,7 +27,7 @@
             write,
             key,
             arrived_at: self.now,
-            first,
+            first_try,
             attempts: Vec::new(),
         };
         self.pending.insert(id.clone(), pending);
@@ -44,13 +45,13 @@
             budget: limits.deadline,
             work: None,
             size: None,
-            retry: !first,
+            retry: !first_try,
             write,
         };
         self.notify_node(node, Event::Request(request));
     }
 
-    /// Passes an event to a node's balancer and carries out its actions.
+    /// Passes an event to a node's balancer and applies the resulting actions. Has no effect under the omniscient policy.
     pub(super) fn notify_node(&mut self, node: usize, event: Event) {
         if self.policy == Policy::Omniscient {
             return;
@@ -58,11 +59,11 @@
         let mut actions = Vec::new();
         self.nodes[node].handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(node, action);
+            self.apply_action(node, action);
         }
     }
 
-    fn carry_out(&mut self, node: usize, action: Action) {
+    fn apply_action(&mut self, node: usize, action: Action) {
         match action {
             Action::Send {
                 request,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// An attempt by its request and number; the request may have had its final response.
+    /// Finds an attempt by its request and number, also if the request is no longer pending.
     fn find_attempt(&self, request: &RequestId, number: usize) -> Option<AttemptIndex> {
         let pending = self.pending.get(request);
         pending
@@ -102,7 +103,7 @@
             .map(|position| first + position)
     }
 
-    /// The final response of a request is a rejection or an error.
+    /// Ends a request with a rejection or failure as its final response; the client may retry a read.
     fn reject(&mut self, request: &RequestId) {
         let Some(pending) = self.pending.remove(request) else {
             self.violations += 1;
@@ -117,7 +118,8 @@
                 self.cancel_attempt(attempt);
             }
         }
-        if pending.first && !pending.write && self.rng.random_bool(self.site.retry_probability) {
+        if pending.first_try && !pending.write && self.rng.random_bool(self.site.retry_probability)
+        {
             self.schedule(CLIENT_RETRY_DELAY, FleetEvent::ClientRetry(pending.key));
         }
     }
@@ -145,7 +147,7 @@
             key: pending.key,
             write: pending.write,
             sent_at: self.now,
-            stage: Stage::Queued,
+            stage: AttemptStage::Queued,
             awaited: true,
         };
         let deadline = pending.arrived_at + class_limits(pending.write).deadline;
@@ -157,7 +159,7 @@
         self.enqueue(index);
     }
 
-    /// An attempt has ended: a success is the final response of its request.
+    /// Ends an attempt and reports its outcome to the node. The first success is the final response of the request.
     pub(super) fn attempt_ended(
         &mut self,
         index: AttemptIndex,
@@ -168,7 +170,7 @@
         let (node, server, number) = (attempt.node, attempt.server, attempt.number);
         let latency = self.now - attempt.sent_at;
         let request = attempt.request.clone();
-        let closed = status == Status::Ok && self.final_response(&request, cache_result);
+        let closed = status == Status::Ok && self.record_success(&request, cache_result);
         if self.policy == Policy::Omniscient {
             if !closed && self.pending.contains_key(&request) {
                 self.reject(&request);
@@ -188,8 +190,8 @@
         self.notify_node(node, event);
     }
 
-    /// Counts the success of a request; false if it had its final response before.
-    fn final_response(&mut self, request: &RequestId, cache_result: Option<CacheResult>) -> bool {
+    /// Records a success as the final response of a request. Returns false if the request already had its final response.
+    fn record_success(&mut self, request: &RequestId, cache_result: Option<CacheResult>) -> bool {
         let Some(pending) = self.pending.remove(request) else {
             return false;
         };
@@ -198,7 +200,7 @@
             let counts = self.counts();
             counts.served += 1;
             counts.served_weight += limits.priority_weight;
-            counts.from_origin += u32::from(cache_result == Some(CacheResult::Miss));
+            counts.served_from_origin += u32::from(cache_result == Some(CacheResult::Miss));
         }
         true
     }
--- a/crates/fleet_model/src/model/upstream.rs
+++ b/crates/fleet_model/src/model/upstream.rs
@@ -1,13 +1,13 @@
-//! Attempts at the servers and at the origin: queue, core, cache, fetch, answer.
+//! Attempts at the servers and at the origin: queueing, processing, cache lookup, fetch and answer.
 
 use sloewick_decision::api::{CacheResult, Micros, Status};
 
 use super::Model;
-use crate::attempt::{Attempt, AttemptIndex, Stage};
+use crate::attempt::{Attempt, AttemptIndex, AttemptStage};
 use crate::event_queue::FleetEvent;
 
 impl Model {
-    /// An attempt arrives at its server, which rejects it if its queue is full.
+    /// Adds an attempt to its server's queue, or rejects it if the queue is full.
     pub(super) fn enqueue(&mut self, index: AttemptIndex) {
         let server = self.attempts[index].server;
         if self.servers[server].queue.len() >= self.site.max_server_queue {
@@ -19,25 +19,31 @@
         }
     }
 
-    /// A server's core takes the attempt at the head of its queue.
+    /// Starts a server's core on the attempt at the head of its queue, if there is one.
     fn start_next(&mut self, server: usize) {
         let Some(index) = self.servers[server].queue.pop_front() else {
             return;
         };
         let attempt = &mut self.attempts[index];
-        attempt.stage = Stage::Working;
+        attempt.stage = AttemptStage::Processing;
         let node = attempt.node;
         let mut work = self.draw_exponential(self.site.mean_work);
         if !self.servers[server].take_idle_connection(node) {
             work += self.site.handshake_work as Micros;
         }
-        let run = self.servers[server].start_work(index);
-        self.schedule(work, FleetEvent::WorkDone { server, run });
+        let work_serial = self.servers[server].start_work(index);
+        self.schedule(
+            work,
+            FleetEvent::WorkDone {
+                server,
+                work_serial,
+            },
+        );
     }
 
-    /// A run of a server's core ends, unless it was aborted before.
-    pub(super) fn work_done(&mut self, server: usize, run: u64) {
-        if self.servers[server].run != run {
+    /// Completes the work of a server's core, unless this work was aborted, and starts the next.
+    pub(super) fn work_done(&mut self, server: usize, work_serial: u64) {
+        if self.servers[server].work_serial != work_serial {
             return;
         }
         if let Some(index) = self.servers[server].active.take() {
@@ -46,7 +52,7 @@
         self.start_next(server);
     }
 
-    /// The server answers a hit and forwards all else to the origin.
+    /// Handles an attempt at the end of its work: the server answers hits itself and forwards all other requests to the origin.
     fn process(&mut self, index: AttemptIndex) {
         let Attempt {
             server, key, write, ..
@@ -63,7 +69,7 @@
         if self.origin_queue.len() >= self.site.max_origin_queue {
             return self.answer(index, Status::Error, None);
         }
-        self.attempts[index].stage = Stage::AtOrigin;
+        self.attempts[index].stage = AttemptStage::AtOrigin;
         self.servers[server].fetches += 1;
         self.origin_queue.push_back(index);
         if self.origin_queue.len() == 1 {
@@ -72,7 +78,7 @@
         self.schedule(self.site.fetch_timeout, FleetEvent::FetchTimeout(index));
     }
 
-    /// The origin takes the head of its queue. It does not notice that a server has ceased to wait.
+    /// Starts the origin on the head of its queue. The origin also works on fetches for which no server waits any more.
     fn start_origin(&mut self) {
         let slowdown = self.site.origin_slowdown(self.now);
         let duration = self.draw_exponential(1e6 / self.site.origin_rate * slowdown);
@@ -88,7 +94,8 @@
         }
     }
 
-    /// The origin's answer arrives; a write invalidates the key at all servers.
+    /// Handles the origin's answer at the server. A completed write invalidates the key at all servers, even if its server no
+    /// longer waits.
     pub(super) fn fetch_done(&mut self, index: AttemptIndex) {
         let Attempt {
             server,
@@ -102,8 +109,8 @@
                 server.cached.remove(&key);
             }
         }
-        if stage != Stage::AtOrigin {
-            self.counts().unawaited_fetches += 1;
+        if stage != AttemptStage::AtOrigin {
+            self.counts().abandoned_fetches += 1;
             return;
         }
         self.servers[server].fetches -= 1;
@@ -113,23 +120,24 @@
         self.answer(index, Status::Ok, Some(CacheResult::Miss));
     }
 
-    /// The connection of an attempt is closed: a queued attempt is dropped, work stops, a fetch does not fill the cache.
+    /// Cancels an attempt by closing its connection: it leaves the queue, its work stops, and a fetch in flight does not
+    /// fill the cache.
     pub(super) fn cancel_attempt(&mut self, index: AttemptIndex) {
         let Attempt { server, stage, .. } = self.attempts[index];
         self.attempts[index].awaited = false;
         match stage {
-            Stage::Queued => self.servers[server].queue.retain(|queued| *queued != index),
-            Stage::Working => {
+            AttemptStage::Queued => self.servers[server].queue.retain(|queued| *queued != index),
+            AttemptStage::Processing => {
                 self.servers[server].abort_work();
                 self.start_next(server);
             }
-            Stage::AtOrigin => self.servers[server].fetches -= 1,
-            Stage::Done => {}
+            AttemptStage::AtOrigin => self.servers[server].fetches -= 1,
+            AttemptStage::Done => {}
         }
-        self.attempts[index].stage = Stage::Done;
+        self.attempts[index].stage = AttemptStage::Done;
     }
 
-    /// The server answers an attempt; its connection becomes idle. No effect on an attempt that its node no longer awaits.
+    /// Answers an attempt and makes its connection idle. If its node no longer awaits the attempt, it only marks it as done.
     pub(super) fn answer(
         &mut self,
         index: AttemptIndex,
@@ -137,7 +145,7 @@
         cache_result: Option<CacheResult>,
     ) {
         let attempt = &mut self.attempts[index];
-        attempt.stage = Stage::Done;
+        attempt.stage = AttemptStage::Done;
         if !std::mem::replace(&mut attempt.awaited, false) {
             return;
         }
--- a/crates/fleet_model/src/node.rs
+++ b/crates/fleet_model/src/node.rs
@@ -1,4 +1,4 @@
-//! Balancers of the nodes, and the names by which they know the servers. Holds no state.
+//! Creates the nodes' balancers, and converts between the numbers and the ids of servers. Holds no state.
 
 use std::sync::Arc;
 
@@ -7,21 +7,23 @@
 };
 use sloewick_decision::Balancer;
 
-/// Name of a server.
+/// The id of a server in endpoint lists, from its number.
 pub(crate) fn server_id(server: usize) -> ServerId {
     format!("s{server}").into()
 }
 
-/// Number of a server, from its name.
+/// The number of a server, from its id in endpoint lists.
 ///
 /// # Panics
 ///
-/// If the name is not one of an [`endpoint`].
+/// If the id is not one that [`endpoint`] creates.
 pub fn server_number(server: &ServerId) -> usize {
-    server[1..].parse().expect("servers are numbered")
+    server[1..]
+        .parse()
+        .expect("a server id is \"s\" and a number")
 }
 
-/// A live server of weight 1, without zone or start time.
+/// The endpoint list's entry for a live server of weight 1, without zone, kind, start time or cell.
 pub fn endpoint(server: usize) -> Endpoint {
     Endpoint {
         server: server_id(server),
@@ -34,7 +36,7 @@
     }
 }
 
-/// Starts the balancer of a node with this number, which has received the complete endpoint list.
+/// Creates the balancer of the node with this number and passes the complete endpoint list to it.
 ///
 /// # Panics
 ///
--- a/crates/fleet_model/src/server.rs
+++ b/crates/fleet_model/src/server.rs
@@ -1,5 +1,5 @@
-//! A cache server: a queue, one core, fetch slots, cached keys and idle connections. Each server owns its own state; the model
-//! moves attempts through it.
+//! The state of a cache server: a queue, one core, fetch slots, cached keys and idle connections. The model moves attempts
+//! through a server; servers share no state.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -8,30 +8,30 @@
 /// State of a cache server.
 #[derive(Default)]
 pub(crate) struct Server {
-    /// Attempts that wait for the core.
+    /// Attempts that wait for the core, in order of arrival.
     pub(crate) queue: VecDeque<AttemptIndex>,
-    /// Attempt that the core works on.
+    /// The attempt that the core processes, if it is busy.
     pub(crate) active: Option<AttemptIndex>,
-    /// Number of the core's current run; the end of an earlier run is stale.
-    pub(crate) run: u64,
+    /// Serial number of the core's current work; a `WorkDone` event with another number is stale and is ignored.
+    pub(crate) work_serial: u64,
     /// Fetches and writes in flight to the origin.
     pub(crate) fetches: usize,
-    /// Keys in the cache.
+    /// Keys whose values are cached.
     pub(crate) cached: HashSet<usize>,
-    /// Number of idle connections, by node.
+    /// Number of idle connections by node.
     idle_connections: HashMap<usize, usize>,
 }
 
 impl Server {
-    /// A server that has cached all of this many keys.
-    pub(crate) fn with_cached_keys(keys: usize) -> Server {
+    /// A server that has cached the keys from 0 to `key_count - 1`.
+    pub(crate) fn with_cached_keys(key_count: usize) -> Server {
         Server {
-            cached: (0..keys).collect(),
+            cached: (0..key_count).collect(),
             ..Server::default()
         }
     }
 
-    /// Takes an idle connection of a node; false if there is none and a handshake is due.
+    /// Takes an idle connection of a node. Returns false if there is none, so that a new connection needs a handshake.
     pub(crate) fn take_idle_connection(&mut self, node: usize) -> bool {
         let idle = self.idle_connections.entry(node).or_default();
         let found = *idle > 0;
@@ -39,25 +39,25 @@
         found
     }
 
-    /// A connection of a node becomes idle.
+    /// Adds a connection of a node to its idle connections.
     pub(crate) fn return_connection(&mut self, node: usize) {
         *self.idle_connections.entry(node).or_default() += 1;
     }
 
-    /// The core starts to work on an attempt; returns the number of this run.
+    /// Starts the core's work on an attempt and returns the serial number of this work.
     pub(crate) fn start_work(&mut self, attempt: AttemptIndex) -> u64 {
-        self.run += 1;
+        self.work_serial += 1;
         self.active = Some(attempt);
-        self.run
+        self.work_serial
     }
 
-    /// The core stops without a result.
+    /// Stops the core's work without a result and makes its `WorkDone` event stale.
     pub(crate) fn abort_work(&mut self) {
         self.active = None;
-        self.run += 1;
+        self.work_serial += 1;
     }
 
-    /// Attempts in the queue and at the core.
+    /// Number of attempts in the queue and at the core.
     pub(crate) fn backlog(&self) -> usize {
         self.queue.len() + usize::from(self.active.is_some())
     }
--- a/crates/fleet_model/src/server_tests.rs
+++ b/crates/fleet_model/src/server_tests.rs
@@ -1,9 +1,9 @@
-//! Connections, core and cache of a server.
+//! Idle connections, core, backlog and cache of a server.
 
 use crate::server::Server;
 
 #[test]
-fn idle_connection_is_taken_once_and_only_by_its_node() {
+fn idle_connection_is_reused_once_and_only_by_its_node() {
     let mut server = Server::default();
     server.return_connection(1);
     assert!(!server.take_idle_connection(2));
@@ -12,12 +12,12 @@
 }
 
 #[test]
-fn aborted_work_makes_the_end_of_its_run_stale() {
+fn aborting_work_invalidates_its_serial_number() {
     let mut server = Server::default();
-    let run = server.start_work(5);
-    assert_eq!(server.run, run);
+    let work_serial = server.start_work(5);
+    assert_eq!(server.work_serial, work_serial);
     server.abort_work();
-    assert_ne!(server.run, run);
+    assert_ne!(server.work_serial, work_serial);
     assert_eq!(server.active, None);
 }
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn server_with_cached_keys_has_each_key_cached() {
+fn server_created_with_cached_keys_has_exactly_those_keys_cached() {
     let server = Server::with_cached_keys(3);
     assert!((0..3).all(|key| server.cached.contains(&key)));
     assert_eq!(server.cached.len(), 3);
--- a/crates/fleet_model/src/site.rs
+++ b/crates/fleet_model/src/site.rs
@@ -1,6 +1,6 @@
-//! Sizes of a modelled fleet, the faults of a run, and the settings of the nodes that follow from them.
+//! The configuration of a modelled fleet, the faults of a run, and the settings of the nodes that are derived from them.
 //!
-//! Holds no state: a [`Site`] is a plain description that does not change during a run.
+//! A [`Site`] does not change during a run.
 
 use std::ops::Range;
 
@@ -16,20 +16,20 @@
 /// Index of the class of writes in [`Settings::classes`].
 const WRITE_CLASS: usize = 1;
 
-/// What distinguishes the two classes of requests.
+/// The properties in which reads and writes, the two classes of requests, differ.
 pub(crate) struct ClassLimits {
     /// Index in [`Settings::classes`].
     pub(crate) index: usize,
-    /// What a request counts when it is answered within its latency objective.
+    /// Weight of a request that is answered within its latency objective.
     pub(crate) priority_weight: u32,
-    /// Time from arrival to the final response that counts as served.
+    /// Longest time from arrival to final response with which a request counts as served.
     pub(crate) latency_objective: Micros,
-    /// Time from arrival by which there must be a final response.
+    /// Time from arrival by which each request must have its final response.
     pub(crate) deadline: Micros,
     idempotency: Idempotency,
 }
 
-/// Reads.
+/// Class of reads.
 const READS: ClassLimits = ClassLimits {
     index: READ_CLASS,
     priority_weight: 1,
@@ -38,7 +38,7 @@
     idempotency: Idempotency::Idempotent,
 };
 
-/// Writes.
+/// Class of writes.
 pub(crate) const WRITES: ClassLimits = ClassLimits {
     index: WRITE_CLASS,
     priority_weight: 10,
@@ -47,7 +47,7 @@
     idempotency: Idempotency::Keyed,
 };
 
-/// Limits of a read or of a write.
+/// The class limits of writes or of reads.
 pub(crate) fn class_limits(write: bool) -> &'static ClassLimits {
     if write {
         &WRITES
@@ -56,71 +56,73 @@
     }
 }
 
-/// A period in which the least popular key is requested often.
+/// A period in which the least popular key becomes hot.
 #[derive(Clone, Debug)]
 pub struct HotKey {
-    /// From and until when, in microseconds of virtual time.
+    /// Start and end of the period, in microseconds of virtual time.
     pub period: Range<Micros>,
-    /// Fraction of all requests that ask for this key.
+    /// Probability that a request is for this key instead of one drawn from the distribution of the keys.
     pub fraction: f64,
 }
 
-/// A restart of nodes, which lose all that they have learned and their pending requests.
+/// A restart of nodes, which lose everything that they have learned, and their pending requests.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeRestart {
-    /// When, in microseconds of virtual time.
+    /// Time of the restart, in microseconds of virtual time.
     pub at: Micros,
-    /// Number of nodes, from node 0 on.
+    /// Number of nodes that restart, starting with node 0.
     pub nodes: usize,
 }
 
-/// Sizes and faults of a run. Times are microseconds; work is microseconds of a core of speed 1; rates are per second.
+/// The configuration of a fleet and the faults of a run. Times are in microseconds, work is in microseconds on a core of
+/// speed 1, and rates are per second.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// Nodes, each with a balancer of its own.
+    /// Number of nodes, each with its own balancer.
     pub nodes: usize,
-    /// Cache servers with a core each.
+    /// Number of cache servers, each with one core.
     pub servers: usize,
-    /// Requests per second at all nodes together.
+    /// Requests per second that arrive at all nodes together, without the clients' retries.
     pub request_rate: f64,
     /// Number of keys.
     pub keys: usize,
-    /// Exponent of the Zipf distribution of the keys.
+    /// Exponent of the Zipf distribution from which the keys of requests are drawn.
     pub zipf_exponent: f64,
     /// Fraction of requests that are writes.
     pub write_fraction: f64,
-    /// Mean work of a request; the work is distributed exponentially.
+    /// Mean work of an attempt at a server; the work is distributed exponentially.
     pub mean_work: f64,
-    /// Work of a handshake.
+    /// Work that a handshake adds to an attempt on a new connection.
     pub handshake_work: f64,
-    /// Maximum number of requests that wait at a server.
+    /// Maximum number of attempts that wait for a server's core.
     pub max_server_queue: usize,
-    /// Maximum number of fetches that a server has in flight.
+    /// Maximum number of fetches and writes that a server has in flight to the origin.
     pub max_server_fetches: usize,
-    /// How long a server waits for a fetch.
+    /// Time after which a server stops waiting for a fetch or write at the origin.
     pub fetch_timeout: Micros,
-    /// Fetches and writes per second that the origin completes.
+    /// Fetches and writes per second that the origin can complete.
     pub origin_rate: f64,
-    /// Time that the origin takes for one fetch or write, without queueing.
+    /// Constant delay of each fetch or write, in addition to its time in the origin's queue and its service time.
     pub origin_latency: Micros,
-    /// Maximum number of fetches and writes that wait at the origin.
+    /// Maximum number of fetches and writes in the origin's queue, including the one that the origin works on.
     pub max_origin_queue: usize,
-    /// When the origin is slower.
+    /// Period in which the origin is slower, in microseconds of virtual time.
     pub slow_period: Range<Micros>,
-    /// How many times slower the origin is then.
+    /// Factor by which the origin's service times grow during `slow_period`.
     pub slow_factor: f64,
-    /// Probability that the client of a rejected read retries, once.
+    /// Probability that the client of a rejected or failed read retries it once.
     pub retry_probability: f64,
-    /// Period of a hot key, if there is one.
+    /// Period of a hot key; None: no key becomes hot.
     pub hot_key: Option<HotKey>,
-    /// Servers that answer every request with an error, from server 0 on.
+    /// Number of servers that answer every attempt with an error, starting with server 0.
     pub faulty_servers: usize,
-    /// Restart of nodes, if there is one.
+    /// Restart of nodes during the run; None: no node restarts.
     pub node_restart: Option<NodeRestart>,
 }
 
 impl Default for Site {
-    /// A fleet with twice the capacity that its load takes, and an origin with twice the capacity that its fetches take.
+    /// A fleet with about twice the capacity that its load needs, and an origin with about twice the capacity that the fetches
+    /// and writes need.
     fn default() -> Site {
         Site {
             nodes: 60,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// How many times slower than usual the origin is at this time.
+    /// Factor by which the origin's service times are longer at this time; 1 outside of the slow period.
     pub(crate) fn origin_slowdown(&self, now: Micros) -> f64 {
         if self.slow_period.contains(&now) {
             self.slow_factor
@@ -167,7 +169,7 @@
         }
     }
 
-    /// Settings of the nodes, without a node number.
+    /// The settings that all nodes share; the node number is not set.
     pub fn settings(&self) -> Settings {
         Settings {
             classes: vec![class_settings(&READS), class_settings(&WRITES)],
--- a/crates/fleet_model/src/site_tests.rs
+++ b/crates/fleet_model/src/site_tests.rs
@@ -1,9 +1,9 @@
-//! Faults of a site, and the settings that follow from it.
+//! The slow period of a site, and the settings derived from a site.
 
 use crate::site::{class_limits, Site, MICROS_PER_SECOND};
 
 #[test]
-fn origin_is_slow_from_the_start_of_the_period_until_before_its_end() {
+fn slow_period_includes_its_start_and_excludes_its_end() {
     let site = Site::default().with_slow_origin(10..12, 8.0);
     let slowdowns = [
         10 * MICROS_PER_SECOND - 1,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn settings_hold_the_limits_of_each_class() {
+fn settings_contain_the_limits_of_each_class() {
     let settings = Site::default().settings();
     for write in [false, true] {
         let limits = class_limits(write);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn settings_hold_the_number_of_nodes() {
+fn settings_contain_the_number_of_nodes() {
     let site = Site {
         nodes: 7,
         ..Site::default()
