--- a/crates/simulator_adapter/src/main.rs
+++ b/crates/simulator_adapter/src/main.rs
@@ -1,9 +1,9 @@
 //! Adapter between the simulator and the decision code: the program `sloewick-simhost`.
 //!
-//! Each line of the standard input is a batch of events in JSON, each line of the standard output the actions that
-//! they caused. The adapter makes no decision: every instance has a `Balancer` of its own, and instances share
-//! nothing but the endpoint lists that the simulator has registered. Input that cannot be read ends the program with
-//! status 2 and a message that names the line and the field; output that cannot be written, with status 3.
+//! Each line of standard input is a batch of events in JSON; each line of standard output contains the actions that
+//! one batch caused. The adapter makes no decisions: every instance has its own `Balancer`, and instances share only
+//! the endpoint lists that the simulator has registered. If the input cannot be read or is invalid, the program exits
+//! with status 2 and a message that names the line and the field; if the output cannot be written, with status 3.
 
 mod messages;
 
@@ -21,33 +21,35 @@
 
 use crate::messages::Reply;
 
-/// Bytes of the buffer before the standard input.
-const INPUT_BUFFER: usize = 1 << 20;
-/// Exit status if the input cannot be read or understood.
+/// Size of the buffer for standard input.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+/// Exit status if the input cannot be read or is invalid.
 const EXIT_INVALID_INPUT: u8 = 2;
 /// Exit status if the output cannot be written.
 const EXIT_OUTPUT_FAILED: u8 = 3;
 
-/// One node: its decision code and the names in its settings.
+/// One simulated node: its decision code and the names in its settings.
 struct Instance {
     /// `None` after a panic: the instance ignores all further events.
     balancer: Option<Balancer>,
     names: Names,
 }
 
-/// All instances of this process, and the endpoint lists that they may be given.
+/// All instances of this process, and the endpoint lists that `MEMBERSHIP` events refer to.
 #[derive(Default)]
 struct Host {
+    /// Instances by the simulator's number of the node.
     instances: BTreeMap<i64, Instance>,
-    registers: BTreeMap<i64, Arc<[RawEndpoint]>>,
-    /// Kinds of events that were skipped, each of which is reported once.
-    unknown: BTreeSet<String>,
-    /// Reused for every event.
+    /// Endpoint lists by `roster_id`.
+    registered_lists: BTreeMap<i64, Arc<[RawEndpoint]>>,
+    /// Unknown kinds of events that were skipped; each kind is reported once.
+    reported_unknown_kinds: BTreeSet<String>,
+    /// Buffer for the actions of one event, reused to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles one batch and appends the reply to `out`.
+    /// Handles one batch of events and appends the reply to `out`.
     fn handle_batch(&mut self, line: &str, out: &mut String) -> Result<(), SettingsError> {
         let value: Value = serde_json::from_str(line)
             .map_err(|e| SettingsError::new("line", format!("is not JSON: {e}")))?;
@@ -63,7 +65,7 @@
         Ok(())
     }
 
-    /// Handles one item of a batch at the time `now`, in microseconds.
+    /// Handles one event of a batch at the time `now`, in microseconds.
     fn handle_item(
         &mut self,
         now: i64,
@@ -73,11 +75,13 @@
         let fields = Fields::of(item, "items")?;
         let kind = fields.text("t")?;
         if kind == "REGISTER" {
-            return self.register_list(&fields);
+            return self.register_endpoint_list(&fields);
         }
         if !messages::EVENT_KINDS.contains(&kind) {
-            if self.unknown.insert(kind.to_string()) {
-                eprintln!("unknown event {kind:?} skipped");
+            if self.reported_unknown_kinds.insert(kind.to_string()) {
+                eprintln!(
+                    "event of unknown kind {kind:?} skipped; others of this kind are not reported"
+                );
             }
             return Ok(());
         }
@@ -86,7 +90,7 @@
             return self.create_instance(now, node, &fields);
         }
         let Some(instance) = self.instances.get_mut(&node) else {
-            let reason = format!("instance {node} was never created");
+            let reason = format!("instance {node} does not exist");
             return Err(SettingsError::new("node", reason));
         };
         if kind == "KILL" {
@@ -94,22 +98,22 @@
             return Ok(());
         }
         let event = if kind == "MEMBERSHIP" {
-            endpoint_list_event(&fields, &self.registers, &instance.names)?
+            endpoint_list_event(&fields, &self.registered_lists, &instance.names)?
         } else {
             messages::event(kind, &fields, &instance.names)?
         };
-        deliver(now, node, instance, event, &mut self.actions, reply);
+        dispatch_event(now, node, instance, event, &mut self.actions, reply);
         Ok(())
     }
 
-    fn register_list(&mut self, fields: &Fields<'_>) -> Result<(), SettingsError> {
+    fn register_endpoint_list(&mut self, fields: &Fields<'_>) -> Result<(), SettingsError> {
         let id = fields.int("roster_id")?;
         let endpoints = fields
             .array("elements")?
             .iter()
             .map(messages::raw_endpoint)
             .collect::<Result<Vec<_>, _>>()?;
-        self.registers.insert(id, endpoints.into());
+        self.registered_lists.insert(id, endpoints.into());
         Ok(())
     }
 
@@ -133,27 +137,27 @@
     }
 }
 
-/// The event of a list that was fetched, or could not be.
+/// Reads a `MEMBERSHIP` event: a registered endpoint list, or the failure to fetch one.
 fn endpoint_list_event(
     fields: &Fields<'_>,
-    registers: &BTreeMap<i64, Arc<[RawEndpoint]>>,
+    registered_lists: &BTreeMap<i64, Arc<[RawEndpoint]>>,
     names: &Names,
 ) -> Result<Event, SettingsError> {
-    let Some(kind) = messages::list_kind(fields.text("mode")?)? else {
+    let Some(kind) = messages::endpoint_list_kind(fields.text("mode")?)? else {
         return Ok(Event::EndpointListFailed);
     };
     let id = fields.int("roster_id")?;
-    let Some(endpoints) = registers.get(&id) else {
-        let reason = format!("register {id} was never declared");
+    let Some(endpoints) = registered_lists.get(&id) else {
+        let reason = format!("no endpoint list is registered with id {id}");
         return Err(SettingsError::new("roster_id", reason));
     };
     let endpoints = endpoints.iter().map(|raw| names.entry(raw)).collect();
     Ok(Event::EndpointList(kind, endpoints))
 }
 
-/// Passes an event to an instance and appends its actions to the reply. A panic is reported in their place and ends
-/// the instance, not the process: the simulator counts it against this instance alone.
-fn deliver(
+/// Passes an event to an instance and appends the resulting actions to the reply. A panic is reported instead of the
+/// actions and ends this instance only, not the process: the simulator counts it against this instance alone.
+fn dispatch_event(
     now: i64,
     node: i64,
     instance: &mut Instance,
@@ -176,7 +180,7 @@
     }
 }
 
-/// The message of a panic, as [`std::panic::catch_unwind`] returns it.
+/// The message in a panic's payload, which [`std::panic::catch_unwind`] returns; "panic" if it is not text.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     panic
         .downcast_ref::<String>()
@@ -187,7 +191,7 @@
 
 fn main() -> ExitCode {
     let stdin = std::io::stdin();
-    let mut input = std::io::BufReader::with_capacity(INPUT_BUFFER, stdin.lock());
+    let mut input = std::io::BufReader::with_capacity(INPUT_BUFFER_BYTES, stdin.lock());
     let stdout = std::io::stdout();
     let mut output = stdout.lock();
     let mut host = Host::default();
--- a/crates/simulator_adapter/src/messages.rs
+++ b/crates/simulator_adapter/src/messages.rs
@@ -1,6 +1,6 @@
-//! The simulator's messages: events from JSON ([`event`], [`raw_endpoint`], [`list_kind`]) and actions to JSON
-//! ([`Reply`]). It performs no I/O and makes no decision; times are milliseconds in messages and microseconds in the
-//! decision code. Errors name the field that is missing or cannot be understood.
+//! The simulator's messages: reads events from JSON ([`event`], [`raw_endpoint`], [`endpoint_list_kind`]) and writes
+//! actions as JSON ([`Reply`]). This module performs no I/O and makes no decisions. Times are in milliseconds in messages
+//! and in microseconds in the decision code. Errors name the field that is missing or invalid.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 };
 use sloewick_decision::settings::{Fields, Names, RawEndpoint, SettingsError};
 
-/// Kinds of events that the adapter understands, in addition to `REGISTER`.
+/// Kinds of events that the adapter handles, in addition to `REGISTER`.
 pub(crate) const EVENT_KINDS: [&str; 10] = [
     "CREATE",
     "KILL",
@@ -26,10 +26,10 @@
     "MESSAGE",
 ];
 
-/// An endpoint of a registered list, before its labels are replaced by numbers.
+/// Reads an endpoint of a registered list. Its zone and kind are still labels; each instance replaces them by numbers.
 pub(crate) fn raw_endpoint(value: &Value) -> Result<RawEndpoint, SettingsError> {
     let fields = Fields::of(value, "elements")?;
-    let text = |name| {
+    let optional_text = |name| {
         fields
             .opt(name)
             .map(|_| fields.text(name).map(str::to_string))
@@ -42,15 +42,15 @@
         other => {
             return Err(SettingsError::new(
                 "mode",
-                format!("{other:?} is no server state"),
+                format!("{other:?} is not a server state"),
             ))
         }
     };
     Ok(RawEndpoint {
         server: fields.text("server")?.into(),
         weight: fields.number_or("power_hint", 1.0)?,
-        zone: text("site")?,
-        kind: text("family_type")?,
+        zone: optional_text("site")?,
+        kind: optional_text("family_type")?,
         state,
         started: Some(fields.micros_or("started_at", 0)?).filter(|t| *t > 0),
         cell: fields
@@ -61,8 +61,8 @@
     })
 }
 
-/// The kind of an endpoint list; `None` if discovery could not be reached.
-pub(crate) fn list_kind(mode: &str) -> Result<Option<EndpointListKind>, SettingsError> {
+/// Reads the kind of an endpoint list; `None` if the request to discovery failed.
+pub(crate) fn endpoint_list_kind(mode: &str) -> Result<Option<EndpointListKind>, SettingsError> {
     match mode {
         "Partial" => Ok(Some(EndpointListKind::Delta)),
         "Complete" => Ok(Some(EndpointListKind::Full)),
@@ -70,12 +70,12 @@
         "Error" => Ok(None),
         other => Err(SettingsError::new(
             "mode",
-            format!("{other:?} is no kind of list"),
+            format!("{other:?} is not a kind of endpoint list"),
         )),
     }
 }
 
-/// How an attempt or a probe ended.
+/// Reads how an attempt or a probe request ended.
 fn status(fields: &Fields<'_>) -> Result<Status, SettingsError> {
     Ok(match fields.int("reason")? {
         0 => Status::Error,
@@ -90,13 +90,13 @@
         other => {
             return Err(SettingsError::new(
                 "reason",
-                format!("{other} is no outcome"),
+                format!("{other} is not a status code"),
             ))
         }
     })
 }
 
-/// The server's load report, if the event has one.
+/// Reads the server's load report, if the event has one.
 fn load_report(fields: &Fields<'_>) -> Result<Option<LoadReport>, SettingsError> {
     let Some(value) = fields.opt("telemetry") else {
         return Ok(None);
@@ -114,19 +114,18 @@
     }))
 }
 
-/// The number of an attempt, counted from 0.
-fn attempt(fields: &Fields<'_>) -> Result<usize, SettingsError> {
-    usize::try_from(fields.int("seq_no")?)
-        .map_err(|_| SettingsError::new("seq_no", "is below zero"))
+/// Reads the number of an attempt, counted from 0.
+fn attempt_number(fields: &Fields<'_>) -> Result<usize, SettingsError> {
+    usize::try_from(fields.int("seq_no")?).map_err(|_| SettingsError::new("seq_no", "is negative"))
 }
 
-/// A client's request.
+/// Reads a client's request.
 fn request(fields: &Fields<'_>, names: &Names) -> Result<Request, SettingsError> {
     Ok(Request {
         id: fields.text("req")?.into(),
         class: names
             .class(fields.text("tier_class")?)
-            .ok_or_else(|| SettingsError::new("tier_class", "is no class of the settings"))?,
+            .ok_or_else(|| SettingsError::new("tier_class", "is not a class in the settings"))?,
         tenant: fields
             .opt("owner")
             .and_then(Value::as_str)
@@ -144,7 +143,7 @@
     })
 }
 
-/// An event other than `MEMBERSHIP`, `CREATE` and `KILL`.
+/// Reads an event of this kind; `MEMBERSHIP`, `CREATE` and `KILL` are handled by the caller.
 pub(crate) fn event(
     kind: &str,
     fields: &Fields<'_>,
@@ -154,12 +153,12 @@
         "REQUEST" => Event::Request(request(fields, names)?),
         "ACCEPTED" => Event::ResponseStarted {
             request: fields.text("req")?.into(),
-            attempt: attempt(fields)?,
+            attempt: attempt_number(fields)?,
         },
         "OUTCOME" => Event::AttemptEnded(AttemptOutcome {
             request: fields.text("req")?.into(),
             server: fields.text("server")?.into(),
-            attempt: attempt(fields)?,
+            attempt: attempt_number(fields)?,
             latency: fields.micros("spent")?,
             status: status(fields)?,
             closed: fields.flag("last")?,
@@ -190,15 +189,20 @@
         },
         "MESSAGE" => Event::PeerMessage {
             from: fields.seed("origin_peer")?,
-            data: hex(fields.text("payload")?)?,
+            data: decode_hex(fields.text("payload")?)?,
         },
-        other => return Err(SettingsError::new("t", format!("{other:?} is no event"))),
+        other => {
+            return Err(SettingsError::new(
+                "t",
+                format!("{other:?} is not a kind of event"),
+            ))
+        }
     })
 }
 
-/// The bytes that a text of hexadecimal digits stands for.
-fn hex(text: &str) -> Result<Arc<[u8]>, SettingsError> {
-    let invalid = || SettingsError::new("payload", "is not hex digits");
+/// Decodes a text of hexadecimal digits, two for each byte.
+fn decode_hex(text: &str) -> Result<Arc<[u8]>, SettingsError> {
+    let invalid = || SettingsError::new("payload", "is not an even number of hexadecimal digits");
     if !text.len().is_multiple_of(2) || !text.is_ascii() {
         return Err(invalid());
     }
@@ -207,20 +211,20 @@
         .collect()
 }
 
-/// Appends a text, quoted as JSON requires.
-fn text_field(out: &mut String, name: &str, value: &str) {
+/// Appends a text field, escaped for JSON.
+fn write_text_field(out: &mut String, name: &str, value: &str) {
     let _ = write!(out, ",\"{name}\":{}", Value::from(value));
 }
 
-/// Appends a time, given in microseconds, in milliseconds.
-fn time_field(out: &mut String, name: &str, micros: Micros) {
+/// Appends a time field in milliseconds, from a time in microseconds.
+fn write_time_field(out: &mut String, name: &str, micros: Micros) {
     let _ = write!(out, ",\"{name}\":{}", micros as f64 / 1000.0);
 }
 
-/// The reply to a batch, written into a text as its actions come.
+/// Writer of the reply to one batch, which appends each action to a text buffer.
 pub(crate) struct Reply<'a> {
     out: &'a mut String,
-    /// Whether no item has been written yet.
+    /// Whether no action or panic has been written yet.
     is_empty: bool,
 }
 
@@ -234,12 +238,12 @@
         }
     }
 
-    /// Ends the reply and its line.
+    /// Ends the reply with a line break.
     pub(crate) fn end(self) {
         self.out.push_str("]}\n");
     }
 
-    /// Begins an item: the separator, if it is not the first one, and the fields that all items have.
+    /// Begins an item of the reply: writes the separator, unless it is the first item, and the fields that all items have.
     fn begin_item(&mut self, kind: &str, node: i64) -> &mut String {
         if !std::mem::replace(&mut self.is_empty, false) {
             self.out.push(',');
@@ -248,14 +252,14 @@
         self.out
     }
 
-    /// Appends a panic of a node's decision code.
+    /// Appends the report of a panic in a node's decision code.
     pub(crate) fn add_panic(&mut self, node: i64, message: &str) {
         let out = self.begin_item("BUG", node);
-        text_field(out, "what", message);
+        write_text_field(out, "what", message);
         out.push('}');
     }
 
-    /// Appends an action of a node.
+    /// Appends an action that a node's decision code requested.
     pub(crate) fn add_action(&mut self, node: i64, action: &Action) {
         let out = self.begin_item(action_kind(action), node);
         match action {
@@ -264,44 +268,44 @@
                 server,
                 timeout,
             } => {
-                text_field(out, "req", request);
-                text_field(out, "server", server);
+                write_text_field(out, "req", request);
+                write_text_field(out, "server", server);
                 if let Some(timeout) = timeout {
-                    time_field(out, "allow_for", *timeout);
+                    write_time_field(out, "allow_for", *timeout);
                 }
             }
             Action::Reject {
                 request,
                 retry_after,
             } => {
-                text_field(out, "req", request);
+                write_text_field(out, "req", request);
                 if *retry_after > 0 {
-                    time_field(out, "not_before_for", *retry_after);
+                    write_time_field(out, "not_before_for", *retry_after);
                 }
             }
-            Action::Fail { request } => text_field(out, "req", request),
+            Action::Fail { request } => write_text_field(out, "req", request),
             Action::Cancel { request, attempt } => {
-                text_field(out, "req", request);
+                write_text_field(out, "req", request);
                 let _ = write!(out, ",\"seq_no\":{attempt}");
             }
             Action::SetTimer { delay, token } => {
-                time_field(out, "from_now", *delay);
+                write_time_field(out, "from_now", *delay);
                 let _ = write!(out, ",\"ref\":{token}");
             }
             Action::Probe(server) | Action::CloseIdleConnections(server) => {
-                text_field(out, "server", server);
+                write_text_field(out, "server", server);
             }
             Action::Subscribe(active) => {
                 let _ = write!(out, ",\"active\":{active}");
             }
             Action::FetchEndpointList => {}
-            Action::Log(text) => text_field(out, "what", text),
+            Action::Log(text) => write_text_field(out, "what", text),
         }
         out.push('}');
     }
 }
 
-/// The name that the simulator has for an action.
+/// The simulator's name for the kind of an action.
 fn action_kind(action: &Action) -> &'static str {
     match action {
         Action::Send { .. } => "ISSUE",
--- a/crates/simulator_adapter/tests/adapter.rs
+++ b/crates/simulator_adapter/tests/adapter.rs
@@ -1,106 +1,128 @@
-//! The adapter's replies to small transcripts, to invalid input, and with instances in one or two processes.
+//! The adapter's replies to short sequences of events and to invalid input, and its instances in one or in separate
+//! processes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-fn run(input: &str) -> Output {
+/// Runs the adapter with this standard input until it exits.
+fn run_adapter(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sloewick-simhost"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // The adapter may end before it has read everything; its exit status and output are what is tested.
+    // The write fails if the adapter exits before it has read all input; the tests check its exit status and output.
     let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
     child.wait_with_output().unwrap()
 }
 
-fn create(node: u32) -> String {
+fn create_event(node: u32) -> String {
     format!(
         r#"{{"t":"CREATE","node":{node},"random_seed":{node},"options":{{"classes":[{{"name":"get","aim":100.0,"deadline":300.0,"repeat":"free","worth":1.0}}],"discovery":"push","replicas_of_me":2,"policy_limits":{{"try_limit":3,"second_copies":true}},"rules":{{"stop_sending_within":500.0,"cold_from":0.2,"cold":9000.0,"fall_multiple":3.0,"fall":1000.0,"grace_to_answer":8.0}},"novelty":1}}}}"#
     )
 }
 
-const LIST: &str = r#"{"t":"REGISTER","roster_id":3,"elements":[{"server":"a","mode":"live"},{"server":"b","mode":"live"},{"server":"c","mode":"live"}]}"#;
+const REGISTER_EVENT: &str = r#"{"t":"REGISTER","roster_id":3,"elements":[{"server":"a","mode":"live"},{"server":"b","mode":"live"},{"server":"c","mode":"live"}]}"#;
 
-fn members(node: u32) -> String {
+fn membership_event(node: u32) -> String {
     format!(r#"{{"t":"MEMBERSHIP","node":{node},"stamp":1,"roster_id":3,"mode":"Persisted"}}"#)
 }
 
-fn request(node: u32, n: u32) -> String {
+fn request_event(node: u32, n: u32) -> String {
     format!(
         r#"{{"t":"REQUEST","node":{node},"req":"q{n}","tier_class":"get","key":"k{}","time_budget":300.0,"mutates":false}}"#,
         n % 9
     )
 }
 
+/// A batch of events at the time `ts`, in milliseconds, as a line of input.
 fn batch(ts: u32, items: &[String]) -> String {
     format!("{{\"ts\":{ts}.0,\"items\":[{}]}}\n", items.join(","))
 }
 
-fn actions(line: &str) -> Vec<serde_json::Value> {
+/// Parses the actions in a line of output.
+fn parse_actions(line: &str) -> Vec<serde_json::Value> {
     let value: serde_json::Value = serde_json::from_str(line).unwrap();
     value["do"].as_array().unwrap().clone()
 }
 
 #[test]
-fn request_is_sent_and_ended_before_its_deadline() {
-    let first = batch(0, &[create(1), LIST.into(), members(1)]);
+fn request_is_sent_and_then_rejected_before_its_deadline() {
+    let first = batch(
+        0,
+        &[create_event(1), REGISTER_EVENT.into(), membership_event(1)],
+    );
     let wake = batch(299, &[r#"{"t":"WAKE","node":1,"ref":0}"#.into()]);
-    let out = run(&(batch(0, &[]) + &first + &batch(1, &[request(1, 0)]) + &wake));
+    let out = run_adapter(&(batch(0, &[]) + &first + &batch(1, &[request_event(1, 0)]) + &wake));
     assert!(out.status.success(), "{out:?}");
     let text = String::from_utf8(out.stdout).unwrap();
     let lines: Vec<&str> = text.lines().collect();
     assert_eq!(lines[0], r#"{"do":[]}"#);
-    let sent = actions(lines[2]);
+    let sent = parse_actions(lines[2]);
     assert!(sent
         .iter()
         .any(|a| a["t"] == "ISSUE" && a["req"] == "q0" && a["node"] == 1));
-    assert!(actions(lines[3])
+    assert!(parse_actions(lines[3])
         .iter()
         .any(|a| a["t"] == "BOUNCE" && a["req"] == "q0"));
 }
 
 #[test]
-fn instance_killed_and_created_in_one_batch_has_no_requests() {
-    let first = batch(0, &[create(1), LIST.into(), members(1), request(1, 0)]);
+fn instance_killed_and_created_again_in_one_batch_ignores_outcomes_of_old_requests() {
+    let first = batch(
+        0,
+        &[
+            create_event(1),
+            REGISTER_EVENT.into(),
+            membership_event(1),
+            request_event(1, 0),
+        ],
+    );
     let again = batch(
         5,
         &[
             r#"{"t":"KILL","node":1}"#.into(),
-            create(1),
-            LIST.into(),
-            members(1),
+            create_event(1),
+            REGISTER_EVENT.into(),
+            membership_event(1),
         ],
     );
     let old = r#"{"t":"OUTCOME","node":1,"req":"q0","spent":1.0,"server":"a","reason":5,"seq_no":0,"last":false}"#;
-    let out = run(&(first + &again + &batch(6, &[old.into()])));
+    let out = run_adapter(&(first + &again + &batch(6, &[old.into()])));
     assert!(out.status.success());
     let text = String::from_utf8(out.stdout).unwrap();
-    // The old request is forgotten: its late outcome causes no further attempt and no response.
-    assert!(actions(text.lines().last().unwrap())
+    // The new instance does not have the old request: its late outcome causes no further attempt and no response.
+    assert!(parse_actions(text.lines().last().unwrap())
         .iter()
         .all(|a| a["t"] == "RECORD"));
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_two() {
-    let play = |nodes: &[u32]| {
+fn instances_return_the_same_actions_in_one_process_and_in_separate_processes() {
+    let run_instances = |nodes: &[u32]| {
         let mut items: Vec<String> = vec![];
         for n in nodes {
-            items.extend([create(*n), LIST.into(), members(*n)]);
+            items.extend([
+                create_event(*n),
+                REGISTER_EVENT.into(),
+                membership_event(*n),
+            ]);
         }
         let mut input = batch(0, &items);
         for i in 0..200 {
-            let items: Vec<String> = nodes.iter().map(|n| request(*n, i * 10 + n)).collect();
+            let items: Vec<String> = nodes
+                .iter()
+                .map(|n| request_event(*n, i * 10 + n))
+                .collect();
             input += &batch(1 + i, &items);
         }
-        let text = String::from_utf8(run(&input).stdout).unwrap();
-        text.lines().flat_map(actions).collect::<Vec<_>>()
+        let text = String::from_utf8(run_adapter(&input).stdout).unwrap();
+        text.lines().flat_map(parse_actions).collect::<Vec<_>>()
     };
-    let both = play(&[1, 2]);
+    let both = run_instances(&[1, 2]);
     for node in [1, 2] {
-        let alone = play(&[node]);
+        let alone = run_instances(&[node]);
         let its_actions: Vec<_> = both.iter().filter(|a| a["node"] == node).cloned().collect();
         assert_eq!(alone, its_actions);
     }
@@ -108,31 +130,37 @@
 
 #[test]
 fn invalid_input_ends_the_program_with_one_line_that_names_the_field() {
-    let start = batch(0, &[create(1), LIST.into(), members(1)]);
+    let start = batch(
+        0,
+        &[create_event(1), REGISTER_EVENT.into(), membership_event(1)],
+    );
     let cases = [
         ("nonsense\n".to_string(), "line"),
         ("{\"items\":[]}\n".to_string(), "ts"),
         ("{\"ts\":1.0}\n".to_string(), "items"),
-        (batch(1, &[request(7, 0)]), "node"),
+        (batch(1, &[request_event(7, 0)]), "node"),
         (
-            batch(1, &[request(1, 0).replace("300.0", "\"x\"")]),
+            batch(1, &[request_event(1, 0).replace("300.0", "\"x\"")]),
             "time_budget",
         ),
-        (batch(1, &[members(1).replace(":3,", ":4,")]), "roster_id"),
         (
-            batch(1, &[create(2).replace("\"cold\":9000.0,", "")]),
+            batch(1, &[membership_event(1).replace(":3,", ":4,")]),
+            "roster_id",
+        ),
+        (
+            batch(1, &[create_event(2).replace("\"cold\":9000.0,", "")]),
             "cold",
         ),
         (
             batch(
                 1,
-                &[create(2).replace("\"replicas_of_me\":2", "\"replicas_of_me\":0")],
+                &[create_event(2).replace("\"replicas_of_me\":2", "\"replicas_of_me\":0")],
             ),
             "nodes",
         ),
     ];
     for (line, field) in cases {
-        let out = run(&(start.clone() + &line));
+        let out = run_adapter(&(start.clone() + &line));
         let message = String::from_utf8(out.stderr).unwrap();
         assert_eq!(out.status.code(), Some(2), "{line}");
         assert_eq!(message.lines().count(), 1, "{message}");
@@ -147,7 +175,7 @@
 #[test]
 fn unknown_events_are_skipped_and_reported_once() {
     let unknown = r#"{"t":"NOVELTY","node":9}"#.to_string();
-    let out = run(&(batch(0, &[unknown.clone(), unknown.clone()]) + &batch(1, &[unknown])));
+    let out = run_adapter(&(batch(0, &[unknown.clone(), unknown.clone()]) + &batch(1, &[unknown])));
     assert!(out.status.success());
     assert_eq!(String::from_utf8(out.stderr).unwrap().lines().count(), 1);
     assert_eq!(
