--- a/crates/sloewick/benches/loopback.rs
+++ b/crates/sloewick/benches/loopback.rs
@@ -1,12 +1,13 @@
-//! `cargo bench -p sloewick --bench loopback`: the node between clients and cache servers on loopback, and the same
-//! clients connected to the cache servers directly. Prints requests a second, the node's CPU time for each request, p50, p99
-//! and peak memory. Each row runs once to warm up and then in turns with the others, so that load of the machine affects
-//! all alike.
+//! `cargo bench -p sloewick --bench loopback`: measures a node between clients and cache servers on loopback, and the
+//! same clients connected to the cache servers directly. Prints requests per second, the node's CPU time per request,
+//! p50, p99 and peak memory. Each row runs once to warm up and then alternates with the others, so that other load on the
+//! machine affects all rows alike.
 //!
-//! Two more rows are the same node with memcached clients, and with memcached cache servers too.
+//! Two more rows measure the node with memcached clients, and with memcached clients and cache servers.
 //!
-//! `LOOPBACK_NODES=before=/path/one,after=/path/two` compares built programs; without it the one just built runs
-//! alone. `LOOPBACK_REQUESTS` and `LOOPBACK_ROUNDS` set requests and rounds (20,000 and 5).
+//! `LOOPBACK_NODES=before=/path/one,after=/path/two` compares these programs; by default only the program just built is
+//! measured. `LOOPBACK_REQUESTS` and `LOOPBACK_ROUNDS` set the number of requests per round (default 20,000) and of rounds
+//! (default 5).
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -16,9 +17,9 @@
 
 const CLIENTS: usize = 8;
 const CACHE_SERVERS: usize = 4;
-/// Bytes of a value behind the id or key that it begins with.
+/// Length of a value without the id or key at its start, in bytes.
 const VALUE_BYTES: usize = 180;
-/// Bytes of a memcached header.
+/// Length of a memcached header, in bytes.
 const HEADER_BYTES: usize = 24;
 
 #[derive(Clone, Copy)]
@@ -27,17 +28,19 @@
     Memcached,
 }
 
-fn setting(name: &str, default: usize) -> usize {
+/// The value of an environment variable, or the default if it is unset or no number.
+fn number_from_environment(name: &str, default: usize) -> usize {
     std::env::var(name)
         .ok()
         .and_then(|v| v.parse().ok())
         .unwrap_or(default)
 }
 
-/// A cache server that replies at once, one thread for each connection; it lives as long as the process.
+/// Starts a cache server that replies to each request at once, with one thread per connection, until the process ends.
+/// Returns its address.
 fn start_cache_server(protocol: Protocol) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("bind to loopback");
+    let address = listener.local_addr().expect("local address");
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             std::thread::spawn(move || match protocol {
@@ -55,7 +58,7 @@
         .collect()
 }
 
-/// Serves a connection. `reply` removes the complete requests from the buffer and returns the replies.
+/// Serves a connection until it ends. `reply` removes complete requests from the buffer and returns the replies to them.
 fn serve(mut stream: TcpStream, reply: impl Fn(&mut Vec<u8>) -> Vec<u8>) {
     let _ = stream.set_nodelay(true);
     let (mut buffer, mut chunk) = (Vec::new(), [0; 65536]);
@@ -71,19 +74,19 @@
     }
 }
 
-/// Complete commands in `bytes`, each with its id and end.
-fn commands(bytes: &[u8]) -> Vec<(String, usize)> {
-    let (mut found, mut at) = (Vec::new(), 0);
+/// The complete RESP2 commands in `bytes`: the request id of each, and the offset of its end.
+fn complete_commands(bytes: &[u8]) -> Vec<(String, usize)> {
+    let (mut found, mut start) = (Vec::new(), 0);
     loop {
-        let mut pos = at;
+        let mut pos = start;
         let mut line = || {
             let end = bytes[pos..].windows(2).position(|w| w == b"\r\n")? + pos;
             let text = String::from_utf8_lossy(&bytes[pos..end]).into_owned();
             pos = end + 2;
             Some(text)
         };
-        let Some(head) = line() else { return found };
-        let words: usize = head[1..].parse().expect("a count");
+        let Some(header) = line() else { return found };
+        let words: usize = header[1..].parse().expect("number of words");
         let mut id = String::new();
         for word in 0..words {
             if line().is_none() {
@@ -95,13 +98,13 @@
                 None => return found,
             }
         }
-        at = pos;
-        found.push((id, at));
+        start = pos;
+        found.push((id, start));
     }
 }
 
 fn reply_resp(buffer: &mut Vec<u8>) -> Vec<u8> {
-    let found = commands(buffer);
+    let found = complete_commands(buffer);
     let Some(&(_, end)) = found.last() else {
         return Vec::new();
     };
@@ -115,7 +118,7 @@
     replies
 }
 
-/// The length of the memcached packet that begins here, if its header is there.
+/// The length of the memcached packet at the start of `bytes`, or None if its header is incomplete.
 fn packet_len(bytes: &[u8]) -> Option<usize> {
     let body = bytes.get(8..12)?;
     Some(HEADER_BYTES + u32::from_be_bytes(body.try_into().expect("four bytes")) as usize)
@@ -163,10 +166,13 @@
     replies
 }
 
-/// One client's request number `n`, and how its reply is recognised.
+/// A request of a benchmark client, and the check of its reply.
 trait ClientRequest {
+    /// Request number `n` of a client.
     fn new(client: usize, n: usize) -> Self;
+    /// The request as sent on the wire.
     fn bytes(&self) -> Vec<u8>;
+    /// Whether these bytes hold the whole reply.
     fn is_complete(&self, reply: &[u8]) -> bool;
     /// Panics if the reply belongs to another request or is an error.
     fn check(&self, reply: &[u8]);
@@ -242,28 +248,29 @@
             "{}",
             String::from_utf8_lossy(reply)
         );
-        // The end of a cache server's reply, and of a node's.
+        // A cache server's reply ends with a null string, a node's reply with the value.
         reply.ends_with(b"$-1\r\n") || reply.ends_with(b"v\r\n")
     }
 
     fn check(&self, reply: &[u8]) {
         assert!(
             reply.windows(16).any(|w| w == self.id.as_bytes()),
-            "another's reply"
+            "reply to another request"
         );
     }
 }
 
-/// The measurement of all clients together.
+/// Latencies of the requests of all clients.
 struct Latencies {
-    /// Microseconds, ascending.
+    /// In microseconds, ascending.
     sorted: Vec<u64>,
+    /// Time from the start of the clients until all of them have finished.
     elapsed: Duration,
 }
 
-/// Sends requests one after another on each of the clients' connections, one thread each.
-fn drive<Request: ClientRequest>(at: SocketAddr, requests: usize) -> Latencies {
-    let began = Instant::now();
+/// Runs all clients, each with a thread and a connection of its own, and measures their requests.
+fn measure_clients<Request: ClientRequest>(at: SocketAddr, requests: usize) -> Latencies {
+    let started = Instant::now();
     let threads: Vec<_> = (0..CLIENTS)
         .map(|client| {
             std::thread::spawn(move || run_client::<Request>(at, client, requests / CLIENTS))
@@ -271,14 +278,14 @@
         .collect();
     let mut sorted: Vec<u64> = threads
         .into_iter()
-        .flat_map(|t| t.join().expect("a client"))
+        .flat_map(|thread| thread.join().expect("a client panicked"))
         .collect();
-    let elapsed = began.elapsed();
+    let elapsed = started.elapsed();
     sorted.sort_unstable();
     Latencies { sorted, elapsed }
 }
 
-/// The latencies of one client's requests, in microseconds.
+/// Sends one client's requests, one at a time, and returns their latencies in microseconds.
 fn run_client<Request: ClientRequest>(at: SocketAddr, client: usize, requests: usize) -> Vec<u64> {
     let mut stream = TcpStream::connect(at).expect("connect");
     let _ = stream.set_nodelay(true);
@@ -290,8 +297,8 @@
         stream.write_all(&bytes).expect("write");
         let mut reply = Vec::new();
         while !request.is_complete(&reply) {
-            let n = stream.read(&mut chunk).expect("a reply");
-            assert!(n > 0, "the node closed");
+            let n = stream.read(&mut chunk).expect("read");
+            assert!(n > 0, "connection closed before the reply");
             reply.extend_from_slice(&chunk[..n]);
         }
         request.check(&reply);
@@ -300,21 +307,24 @@
     latencies
 }
 
+/// A node process, killed when dropped.
 struct Node {
     child: Child,
     address: SocketAddr,
-    /// The listener for memcached clients.
+    /// Address of the listener for memcached clients.
     memcached: Option<SocketAddr>,
+    /// Configuration files, removed when the node is dropped.
     files: Vec<PathBuf>,
 }
 
 impl Node {
-    /// Starts a node in front of cache servers of this model, with a listener for memcached clients if asked for.
+    /// Starts a node with these cache servers, all of this model, and optionally a listener for memcached clients.
     fn start(program: &Path, servers: &[SocketAddr], memcached: bool, model: &str) -> Node {
         let address = free_address();
         let memcached = memcached.then(free_address);
         let mut files = vec![temporary_file(address, "json")];
-        std::fs::write(&files[0], node_config(address, servers, model)).expect("a file");
+        std::fs::write(&files[0], node_config(address, servers, model))
+            .expect("write configuration");
         let mut command = Command::new(program);
         command
             .arg("run")
@@ -322,19 +332,19 @@
             .stderr(Stdio::null());
         if let Some(listen) = memcached {
             files.push(temporary_file(address, "toml"));
-            std::fs::write(&files[1], memcached_config(listen)).expect("a file");
+            std::fs::write(&files[1], memcached_config(listen)).expect("write configuration");
             command.arg("--memcached").arg(&files[1]);
         }
         let node = Node {
-            child: command.spawn().expect("the program"),
+            child: command.spawn().expect("start the node"),
             address,
             memcached,
             files,
         };
-        let began = Instant::now();
+        let started = Instant::now();
         while TcpStream::connect(address).is_err() {
             assert!(
-                began.elapsed() < Duration::from_secs(10),
+                started.elapsed() < Duration::from_secs(10),
                 "the node does not listen"
             );
             std::thread::sleep(Duration::from_millis(5));
@@ -344,12 +354,12 @@
 
     fn run_clients(&self, requests: usize) -> Latencies {
         match self.memcached {
-            Some(listener) => drive::<MemcachedRequest>(listener, requests),
-            None => drive::<RespRequest>(self.address, requests),
+            Some(listener) => measure_clients::<MemcachedRequest>(listener, requests),
+            None => measure_clients::<RespRequest>(self.address, requests),
         }
     }
 
-    /// CPU time used so far, in microseconds (from the nanoseconds of schedstat).
+    /// CPU time used so far, in microseconds (schedstat reports nanoseconds).
     fn cpu_us(&self) -> u64 {
         let text = std::fs::read_to_string(format!("/proc/{}/schedstat", self.child.id()))
             .unwrap_or_default();
@@ -383,7 +393,7 @@
 fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
         .and_then(|listener| listener.local_addr())
-        .expect("an address")
+        .expect("free port on loopback")
 }
 
 fn temporary_file(address: SocketAddr, extension: &str) -> PathBuf {
@@ -391,14 +401,15 @@
     std::env::temp_dir().join(format!("sloewick-loopback-{pid}-{port}.{extension}"))
 }
 
-/// The example configuration with these addresses, and with deadlines and quotas that the load does not reach.
+/// The example configuration with these addresses, and with deadlines and quotas that the benchmark does not reach.
 fn node_config(listen: SocketAddr, servers: &[SocketAddr], model: &str) -> String {
     let text = std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../examples/node.json"
     ));
     let mut config: serde_json::Value =
-        serde_json::from_str(&text.expect("the example")).expect("JSON");
+        serde_json::from_str(&text.expect("read examples/node.json"))
+            .expect("parse examples/node.json");
     config["listen"] = listen.to_string().into();
     config["settings"]["classes"][0]["aim"] = 4000.0.into();
     config["settings"]["classes"][0]["deadline"] = 4000.0.into();
@@ -428,11 +439,14 @@
     values.get(values.len() / 2).copied().unwrap_or(0.0)
 }
 
-/// What is measured, by name: a node, or none for the cache servers directly. One value for each round.
+/// A row of the results: measurements of a node, or of the cache servers directly if `node` is None. Each vector has one
+/// value per round.
 struct Row {
     name: String,
     node: Option<Node>,
+    /// Requests per second.
     rates: Vec<f64>,
+    /// CPU time of the node per request.
     cpu_us: Vec<f64>,
     p50_us: Vec<f64>,
     p99_us: Vec<f64>,
@@ -450,13 +464,13 @@
         }
     }
 
-    /// Runs the clients once; `record`: whether the result counts.
+    /// Runs one round of the clients; stores the results if `record` is true.
     fn run(&mut self, server: SocketAddr, requests: usize, record: bool) {
         let cpu_us = |node: &Option<Node>| node.as_ref().map_or(0, Node::cpu_us);
         let before = cpu_us(&self.node);
         let Latencies { sorted, elapsed } = match &self.node {
             Some(node) => node.run_clients(requests),
-            None => drive::<RespRequest>(server, requests),
+            None => measure_clients::<RespRequest>(server, requests),
         };
         if !record {
             return;
@@ -482,12 +496,13 @@
     }
 }
 
+/// A program to measure, and the name of its row.
 struct Program {
     name: String,
     path: PathBuf,
 }
 
-/// The programs to compare.
+/// The programs to measure: those named by `LOOPBACK_NODES`, by default the one just built.
 fn programs() -> Vec<Program> {
     let Ok(list) = std::env::var("LOOPBACK_NODES") else {
         return vec![Program {
@@ -504,7 +519,7 @@
         .collect()
 }
 
-/// The cache servers directly, a node for each program, and with one program its memcached variants.
+/// Creates the rows: the cache servers directly, each program, and with a single program also its memcached variants.
 fn rows(servers: &[SocketAddr]) -> Vec<Row> {
     let programs = programs();
     let mut rows = vec![Row::new("direct", None)];
@@ -523,18 +538,18 @@
 }
 
 fn main() {
-    let requests = setting("LOOPBACK_REQUESTS", 20_000);
-    let rounds = setting("LOOPBACK_ROUNDS", 5);
+    let requests = number_from_environment("LOOPBACK_REQUESTS", 20_000);
+    let rounds = number_from_environment("LOOPBACK_ROUNDS", 5);
     let servers = start_cache_servers(Protocol::Resp);
     let mut rows = rows(&servers);
     for round in 0..=rounds {
         for row in &mut rows {
-            // The first round warms up.
+            // The first round is a warm-up and is not recorded.
             row.run(servers[0], requests, round > 0);
         }
     }
     println!(
-        "medians of {rounds} rounds of {requests} requests, {CLIENTS} clients, {CACHE_SERVERS} boxes"
+        "medians of {rounds} rounds of {requests} requests, {CLIENTS} clients, {CACHE_SERVERS} cache servers"
     );
     println!(
         "{:10} {:>10} {:>14} {:>8} {:>8} {:>10}",
@@ -548,7 +563,7 @@
         let ratios = first.cpu_us.iter().zip(&row.cpu_us).map(|(a, b)| b / a);
         let ratio = median(&mut ratios.collect::<Vec<f64>>());
         println!(
-            "CPU a request, {} over {}: {ratio:.3}",
+            "CPU time per request, {} relative to {}: {ratio:.3}",
             row.name, first.name
         );
     }
--- a/crates/sloewick/src/check.rs
+++ b/crates/sloewick/src/check.rs
@@ -1,4 +1,4 @@
-//! `sloewick check`: reads a node's configuration and reports every problem in it.
+//! `sloewick check`: checks the configuration files of a node and reports every problem in them.
 
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -19,11 +19,11 @@
   sloewick check examples/node.json --json
   sloewick check examples/node.json --memcached deploy/memcached.toml
 
-Exit codes: 0 can be used (notes may be printed), 2 can't be used.")]
+Exit codes: 0 the files can be used (notes may be printed), 2 a file can't be used.")]
 pub(crate) struct Args {
-    /// The configuration, as `BALANCER_CONFIG` would name it
+    /// The node configuration file (JSON), as for `BALANCER_CONFIG`
     file: PathBuf,
-    /// Also check this file with it, as `run --memcached` would use it
+    /// Also check this memcached configuration file (TOML), as for `run --memcached`
     #[arg(long, value_name = "FILE")]
     memcached: Option<PathBuf>,
     /// Print the findings as JSON
@@ -39,22 +39,22 @@
     error: std::io::Error,
 }
 
-/// Something found in a file.
+/// A problem in a file, or a note on it.
 struct Finding {
     text: String,
     json: serde_json::Value,
-    /// Whether the file cannot be used.
+    /// Whether the file can't be used because of this finding.
     fatal: bool,
 }
 
-/// Findings in one file.
+/// All findings in one file.
 struct CheckedFile<'a> {
     path: &'a Path,
     findings: Vec<Finding>,
 }
 
 impl CheckedFile<'_> {
-    /// Prints the findings; whether the file can be used.
+    /// Prints the findings and returns whether the file can be used.
     fn report(&self, as_json: bool) -> bool {
         let name = self.path.display();
         if as_json {
@@ -75,7 +75,7 @@
     }
 }
 
-/// Checks the files and reports what was found.
+/// Checks the files and prints the findings.
 pub(crate) fn check(args: &Args) -> ExitCode {
     let files = match check_files(args) {
         Ok(files) => files,
@@ -126,10 +126,10 @@
     config_check::check(text).iter().map(finding).collect()
 }
 
-/// Checks a memcached file together with the node's configuration that it would be used with.
+/// Checks a memcached configuration file together with the configuration of the node that uses it.
 fn check_memcached(text: &str, node: &str) -> Vec<Finding> {
     let Ok(mut config) = config::parse(node) else {
-        let text = "not judged: it needs a node's configuration that can be used".to_string();
+        let text = "not checked: requires a node configuration that can be used".to_string();
         return vec![Finding {
             json: json!({"why": text}),
             text,
@@ -150,7 +150,7 @@
         })
         .collect();
     let listen = config.memcached.and_then(|file| file.listen);
-    if listen.is_some_and(|at| at == config.listen || at == config.discovery) {
+    if listen.is_some_and(|address| address == config.listen || address == config.discovery) {
         let text = "problem: listen: is the address of the node's own listener or of discovery"
             .to_string();
         findings.push(Finding {
--- a/crates/sloewick/src/demo.rs
+++ b/crates/sloewick/src/demo.rs
@@ -1,4 +1,4 @@
-//! `sloewick demo`: a complete fleet on loopback, with a live line for each second.
+//! `sloewick demo`: runs a complete fleet on loopback and prints a line for each second.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -16,9 +16,9 @@
 use crate::output::{print_line, reject_input};
 use crate::protocol_options::ProtocolArgs;
 
-/// Time after the last request in which the outcomes of requests become known.
+/// Time after the last request during which its outcome can still arrive.
 const OUTCOME_DELAY: Duration = Duration::from_millis(2500);
-/// Violations that are printed without `--json`.
+/// Maximum number of violations that are printed without `--json`.
 const MAX_VIOLATIONS_SHOWN: usize = 5;
 
 /// Arguments of `sloewick demo`.
@@ -42,21 +42,21 @@
     /// Number of nodes
     #[arg(long, default_value_t = 2, value_parser = clap::value_parser!(u32).range(1..=8))]
     nodes: u32,
-    /// Requests a second over all nodes
+    /// Total requests per second, over all nodes
     #[arg(long, default_value_t = 300, value_parser = clap::value_parser!(u32).range(1..=5000))]
     rate: u32,
-    /// A fault, begun after a third of the time and over after two thirds
+    /// Inject this fault after a third of the time; it ends after two thirds
     #[arg(long)]
     fault: Option<String>,
-    /// Seed of all random choices (real sockets and clocks add randomness of their own)
+    /// Seed of all random choices (timing of real sockets and clocks still varies)
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[command(flatten)]
     protocols: ProtocolArgs,
-    /// Start each node as a process of its own, so that faults are signals to it
+    /// Run each node as a separate process, so that faults can be injected by signals
     #[arg(long)]
     processes: bool,
-    /// Accept requests of other clients than the fleet's own; they are not checked against the rules
+    /// Accept requests of external clients; they are not checked against the rules
     #[arg(long)]
     visitors: bool,
     /// Print lines of JSON
@@ -64,16 +64,16 @@
     json: bool,
 }
 
-/// Why a demo cannot be played as asked for.
+/// Errors in the arguments of a demo.
 #[derive(Debug, Error)]
 enum DemoError {
-    #[error("--fault {name}: is no fault that real sockets can play; allowed: {allowed}")]
+    #[error("--fault {name}: unknown, or not available on real sockets; allowed: {allowed}")]
     UnknownFault { name: String, allowed: String },
-    #[error("--processes: this program can't be found: {0}")]
+    #[error("--processes: cannot determine the path of this program: {0}")]
     NoProgram(std::io::Error),
 }
 
-/// Plays the demo until its time is over or it is interrupted.
+/// Runs the demo until its time is over or it is interrupted.
 pub(crate) fn demo(args: &Args) -> ExitCode {
     let scenario = match scenario(args) {
         Ok(scenario) => scenario,
@@ -88,7 +88,7 @@
     let mut demo = match Demo::start(&scenario, args.seed, protocols, nodes) {
         Ok(demo) => demo,
         Err(error) => {
-            eprintln!("the fleet does not start: {error}");
+            eprintln!("cannot start the fleet: {error}");
             return ExitCode::from(exit_code::RULE_BROKEN);
         }
     };
@@ -102,7 +102,8 @@
         play_second(&mut demo, second, args.json);
     }
     demo.go_on(OUTCOME_DELAY);
-    // An interrupt does not stop the clients at once.
+    // Clients go on sending after an interrupt, so the time in which outcomes were awaited counts too, up to the planned
+    // end.
     let seconds = (demo.now() as f64 / 1e6).min(scenario.seconds);
     let (checker, report) = demo.end();
     if args.json {
@@ -121,7 +122,7 @@
 fn interrupt_flag() -> Arc<AtomicBool> {
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        // Without a handler an interrupt ends the process at once, which leaves nothing behind either.
+        // If the handler cannot be installed, a signal ends the process at once, which needs no clean-up either.
         let _ = signal_hook::flag::register(signal, interrupted.clone());
     }
     interrupted
@@ -153,7 +154,7 @@
     })
 }
 
-/// The fault of this name, begun after a third of the run.
+/// The fault with this name, starting after a third of the run (`third`, in seconds).
 fn fault(name: &str, third: f64) -> Result<Fault, DemoError> {
     let playable = || FAULTS.iter().filter(|spec| spec.real);
     let Some(spec) = playable().find(|spec| spec.name == name) else {
@@ -163,7 +164,8 @@
             allowed: allowed.join(", "),
         });
     };
-    // Durations are a third of the run at most; what comes back is back by then.
+    // Limits each duration to a third of the run, so that the fault has ended, and what it stopped has returned, before
+    // the last third.
     let durations = spec
         .fields
         .iter()
@@ -183,7 +185,7 @@
 
 fn print_start(demo: &Demo, scenario: &Scenario) {
     print_line(format!(
-        "{} nodes, {} boxes, {} requests a second on loopback; fault: {}",
+        "{} nodes, {} cache servers, {} requests per second on loopback; fault: {}",
         scenario.nodes, scenario.boxes, scenario.rate, scenario.name
     ));
     if demo.memcached {
@@ -195,11 +197,11 @@
     }
 }
 
-/// Plays until the end of this second and prints what is known by then.
+/// Runs until the end of this second of the run and prints the figures of the second before it.
 fn play_second(demo: &mut Demo, second: i64, json: bool) {
     let remaining = (second * 1_000_000 - demo.now()).max(0);
     let announcements = demo.go_on(Duration::from_micros(remaining as u64));
-    // The outcome of a request is known a moment later: lines are of the second before.
+    // Prints figures of the previous second, since outcomes of the last requests of this one are still pending.
     let mut span = demo.report.between(second - 2, second - 1);
     if json {
         let mut line = demo.report.json(&mut span, 1.0);
@@ -233,7 +235,7 @@
     let mut total = report.whole();
     print_line(format!("\nwhole run  {}", report.line(&mut total, seconds)));
     print_line(format!(
-        "{} attempts, {} client retries, {} writes took effect, {} repeats dropped; worst ten seconds {:.3}",
+        "{} attempts, {} client retries, {} writes took effect, {} duplicate writes dropped; worst ten seconds {:.3}",
         total.attempts,
         total.retries,
         total.effects,
--- a/crates/sloewick/src/main.rs
+++ b/crates/sloewick/src/main.rs
@@ -15,8 +15,8 @@
 
 use clap::{Parser, Subcommand};
 
-/// A gateway before a read cache: accepts requests, selects a cache server for each, and returns exactly one final
-/// response.
+/// A gateway in front of a read cache: accepts requests, selects a cache server for each, and returns exactly one
+/// final response
 #[derive(Parser)]
 #[command(version, about, after_help = EXAMPLES)]
 struct Cli {
@@ -35,21 +35,21 @@
   sloewick soak --seeds 1..4
   sloewick trace logs
 
-Exit codes: 0 done, 1 a rule was broken, 2 input that can't be used, 130 interrupted.";
+Exit codes: 0 success, 1 a rule was broken or a fleet did not start, 2 unusable input, 130 interrupted.";
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a node, configured by the JSON file that `BALANCER_CONFIG` names
+    /// Run a node with the JSON configuration file named by `BALANCER_CONFIG`
     Run(run::Args),
-    /// Read a configuration and report its problems
+    /// Check configuration files and report their problems
     Check(check::Args),
-    /// Run a complete emulated fleet on loopback and watch it
+    /// Run a complete emulated fleet on loopback and print its figures each second
     Demo(demo::Args),
-    /// Play a scenario on virtual time and check it against the rules
+    /// Run a scenario in virtual time and check it against the rules
     Play(play::Args),
-    /// Restart real processes again and again under load and check them against the rules
+    /// Restart real node processes repeatedly under load and check them against the rules
     Soak(soak::Args),
-    /// Summarise the traces of a fleet's nodes
+    /// Summarise the event traces of a fleet's nodes
     Trace(trace::Args),
 }
 
--- a/crates/sloewick/src/output.rs
+++ b/crates/sloewick/src/output.rs
@@ -1,11 +1,12 @@
-//! Lines on standard output. When its reader is gone, the program exits silently, as a filter in a pipe does.
+//! Output of the subcommands. If the reader of standard output has closed it, the program exits silently with code 0,
+//! as a filter in a shell pipeline does.
 
 use std::io::Write;
 use std::process::ExitCode;
 
 use crate::exit_code;
 
-/// Prints a line.
+/// Prints a line to standard output.
 pub(crate) fn print_line(text: impl AsRef<str>) {
     let mut stdout = std::io::stdout().lock();
     let written = stdout
@@ -16,7 +17,7 @@
     }
 }
 
-/// Prints why the input cannot be used, on standard error; the exit code that says so.
+/// Prints the error to standard error and returns the exit code for unusable input.
 pub(crate) fn reject_input(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("{error}");
     ExitCode::from(exit_code::UNUSABLE_INPUT)
--- a/crates/sloewick/src/parallel_runs.rs
+++ b/crates/sloewick/src/parallel_runs.rs
@@ -1,7 +1,7 @@
-//! Runs on all cores: which run is next, the order in which results are reported, and an early end.
+//! Distributes numbered runs to worker threads and reports their results in order.
 //!
-//! Results are reported in the order of the seeds, whichever run ends first, so that the same runs print the same. A
-//! run that has begun is completed; after an interrupt none is begun.
+//! Results are reported in the order of the seeds, even if later runs end first, so that the same runs always print the
+//! same output. A run that has started is completed; after an interrupt no further run starts.
 
 use std::collections::BTreeMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,24 +11,29 @@
 
 use crate::exit_code;
 
-/// Runs that may be ahead of the first unfinished one, for each worker: their results are buffered until then.
+/// How far runs may be ahead of the first unreported one, in runs per worker: their results are buffered until then.
 const MAX_RUNS_AHEAD: u64 = 16;
 
-/// What a worker has to do next.
+/// What a worker does next.
 #[derive(Debug, PartialEq)]
 enum NextRun {
     Start(u64),
-    /// Too far ahead of the first run that is not reported yet.
+    /// Wait: the next run would be too far ahead of the first unreported one.
     Wait,
+    /// Exit: all runs have been started.
     Finished,
 }
 
-/// Numbers of runs, given out in order.
+/// Hands out the numbers of runs in order.
 #[derive(Debug)]
 struct RunQueue {
+    /// Number of the next run to start.
     next: u64,
+    /// Number of runs in all.
     end: u64,
+    /// Number of runs whose results have been reported.
     reported: u64,
+    /// Maximum of `next` - `reported`.
     max_ahead: u64,
 }
 
@@ -54,11 +59,11 @@
     }
 }
 
-/// A flag that is set by the first SIGINT or SIGTERM. The second one ends the process at once.
+/// Returns a flag that the first SIGINT or SIGTERM sets. The second one ends the process at once.
 pub(crate) fn interrupt_flag() -> Arc<AtomicBool> {
     let interrupted = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
-        // The order counts: at the first signal the conditional shutdown has to find the flag unset.
+        // Handlers run in the order of registration: at the first signal the conditional shutdown must find the flag unset.
         let _ = signal_hook::flag::register_conditional_shutdown(
             signal,
             i32::from(exit_code::INTERRUPTED),
@@ -69,8 +74,8 @@
     interrupted
 }
 
-/// Runs `run` for 0 to `runs` - 1 on `jobs` threads and passes each result to `report`, in order. Returns how many were
-/// reported: fewer than `runs` if `stop` was set. `report` returns whether a rule was broken.
+/// Calls `run` with 0 to `runs` - 1 on `jobs` threads and passes each result to `report`, in order. `report` returns
+/// whether a rule was broken. Returns the number of reported results: fewer than `runs` if `stop` was set.
 pub(crate) fn run_all<T: Send>(
     runs: u64,
     jobs: usize,
@@ -78,22 +83,22 @@
     run: impl Fn(u64) -> T + Sync,
     mut report: impl FnMut(T) -> bool,
 ) -> u64 {
-    let bar = progress(runs);
+    let bar = progress_bar(runs);
     let queue = Mutex::new(RunQueue::new(runs, MAX_RUNS_AHEAD * jobs.max(1) as u64));
-    let reported_more = Condvar::new();
+    let result_reported = Condvar::new();
     let (sender, receiver) = mpsc::channel();
     let mut reported = 0;
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
-            let (sender, run, queue, reported_more) =
-                (sender.clone(), &run, &queue, &reported_more);
+            let (sender, run, queue, result_reported) =
+                (sender.clone(), &run, &queue, &result_reported);
             scope.spawn(move || {
                 let _guard = StopOnPanic {
                     stop,
                     queue,
-                    reported_more,
+                    result_reported,
                 };
-                while let Some(number) = next_run(queue, reported_more, stop) {
+                while let Some(number) = next_run(queue, result_reported, stop) {
                     if sender.send((number, run(number))).is_err() {
                         return;
                     }
@@ -101,45 +106,46 @@
             });
         }
         drop(sender);
-        let (mut waiting, mut broken) = (BTreeMap::new(), 0u64);
+        let (mut unreported, mut broken_runs) = (BTreeMap::new(), 0u64);
         for (number, result) in receiver {
-            waiting.insert(number, result);
-            while let Some(result) = waiting.remove(&reported) {
-                broken += u64::from(bar.suspend(|| report(result)));
+            unreported.insert(number, result);
+            while let Some(result) = unreported.remove(&reported) {
+                broken_runs += u64::from(bar.suspend(|| report(result)));
                 reported += 1;
             }
             if let Ok(mut queue) = queue.lock() {
                 queue.reported = reported;
             }
-            reported_more.notify_all();
+            result_reported.notify_all();
             bar.set_position(reported);
-            bar.set_message(format!("{broken} with a broken rule"));
+            bar.set_message(format!("{broken_runs} with a broken rule"));
         }
     });
     bar.finish_and_clear();
     reported
 }
 
-/// Ends the other workers when a run panics: they would wait for its result for ever.
+/// Stops the other workers when a run panics; otherwise they would wait forever for its result to be reported.
 struct StopOnPanic<'a> {
     stop: &'a AtomicBool,
     queue: &'a Mutex<RunQueue>,
-    reported_more: &'a Condvar,
+    result_reported: &'a Condvar,
 }
 
 impl Drop for StopOnPanic<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            // Under the lock: no worker is between its look at the flag and its wait.
+            // Holding the lock ensures that no worker is between checking the flag and waiting, where it would miss the
+            // notification.
             let _guard = self.queue.lock();
             self.stop.store(true, Ordering::Relaxed);
-            self.reported_more.notify_all();
+            self.result_reported.notify_all();
         }
     }
 }
 
-/// Waits for the number of the next run; none if all have begun or `stop` is set.
-fn next_run(queue: &Mutex<RunQueue>, reported_more: &Condvar, stop: &AtomicBool) -> Option<u64> {
+/// Waits for the number of the next run. Returns None if all runs have started or `stop` is set.
+fn next_run(queue: &Mutex<RunQueue>, result_reported: &Condvar, stop: &AtomicBool) -> Option<u64> {
     let mut queue = queue.lock().ok()?;
     loop {
         if stop.load(Ordering::Relaxed) {
@@ -148,14 +154,14 @@
         match queue.take() {
             NextRun::Start(number) => return Some(number),
             NextRun::Finished => return None,
-            // Notified after each report; the run that all wait for is in progress.
-            NextRun::Wait => queue = reported_more.wait(queue).ok()?,
+            // Notified after each report; the first unreported run is in progress, so a report will follow.
+            NextRun::Wait => queue = result_reported.wait(queue).ok()?,
         }
     }
 }
 
-/// The progress bar, drawn on a terminal only.
-fn progress(runs: u64) -> ProgressBar {
+/// The progress bar on standard error, drawn only on a terminal and for more than one run.
+fn progress_bar(runs: u64) -> ProgressBar {
     let target = if runs > 1 {
         ProgressDrawTarget::stderr()
     } else {
--- a/crates/sloewick/src/parallel_runs_tests.rs
+++ b/crates/sloewick/src/parallel_runs_tests.rs
@@ -1,11 +1,11 @@
 use super::*;
 
 #[test]
-fn results_are_reported_in_order_whichever_run_ends_first() {
+fn results_are_reported_in_order_although_later_runs_end_first() {
     for jobs in [1, 3, 8] {
         let mut reported = Vec::new();
         let run = |n: u64| {
-            // Some are much longer than those behind them.
+            // Every seventh run takes much longer than the runs after it.
             (0..if n.is_multiple_of(7) { 20_000 } else { 1 })
                 .fold(n, |sum, i| std::hint::black_box(sum ^ i ^ i))
         };
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn runs_begun_before_an_interrupt_are_completed_and_reported() {
+fn runs_started_before_an_interrupt_are_completed_and_reported() {
     let stop = AtomicBool::new(false);
     let mut reported = Vec::new();
     let run = |n: u64| {
@@ -35,7 +35,7 @@
 
 #[test]
 #[should_panic(expected = "a scoped thread panicked")]
-fn panic_in_one_run_ends_all() {
+fn panic_in_one_run_ends_all_workers() {
     run_all(
         1000,
         3,
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn no_run_is_far_ahead_of_the_first_unreported_one() {
+fn no_run_starts_too_far_ahead_of_the_first_unreported_one() {
     let mut queue = RunQueue::new(10, 4);
     let first: Vec<_> = (0..5).map(|_| queue.take()).collect();
     assert_eq!(
--- a/crates/sloewick/src/play.rs
+++ b/crates/sloewick/src/play.rs
@@ -1,4 +1,4 @@
-//! `sloewick play`: scenarios on virtual time, one run for each seed, checked against the rules.
+//! `sloewick play`: runs a scenario in virtual time, once for each seed, and checks each run against the rules.
 
 use std::process::ExitCode;
 use std::sync::atomic::AtomicBool;
@@ -15,7 +15,7 @@
 use crate::parallel_runs;
 use crate::protocol_options::ProtocolArgs;
 
-/// The name of the scenario whose faults are drawn from the seed.
+/// Name of the scenario whose faults are drawn at random from the seed.
 const SWARM: &str = "swarm";
 
 /// Arguments of `sloewick play`.
@@ -28,31 +28,31 @@
   sloewick play my-evening.toml --shrink
   sloewick play rolling-deploy --front memcached --cache later
 
-A scenario is the name of a shipped one (--list), `swarm` (faults drawn at random from the seed), or a TOML file.")]
+SCENARIO is a shipped scenario (see --list), `swarm` (faults drawn at random from the seed), or a TOML file.")]
 pub(crate) struct Args {
-    /// A shipped scenario, `swarm`, or a file
+    /// Name of a shipped scenario, `swarm`, or the path of a TOML file
     scenario: Option<String>,
     /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds to play, one after another from --seed; Ctrl-C ends early and prints the summary so far
+    /// Number of consecutive seeds to run, starting with --seed; Ctrl-C ends early and prints the summary so far
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..))]
     runs: u64,
-    /// Runs at a time; without it one for each core
+    /// Number of parallel runs; by default one per core
     #[arg(long, value_parser = clap::builder::RangedU64ValueParser::<usize>::new().range(1..=1024))]
     jobs: Option<usize>,
     #[command(flatten)]
     protocols: ProtocolArgs,
-    /// Print everything that clients, cache servers and discovery observed, and the nodes' log lines
+    /// Print everything that clients, cache servers and discovery observe, and the nodes' log lines
     #[arg(long)]
     log: bool,
     /// Print the result as JSON
     #[arg(long)]
     json: bool,
-    /// When a rule is broken, search for a shorter schedule that still breaks it
+    /// After a run that breaks a rule, search for a shorter schedule that still breaks it
     #[arg(long)]
     shrink: bool,
-    /// Print the scenario as TOML and play nothing
+    /// Print the scenario as TOML without running it
     #[arg(long)]
     show: bool,
     /// List the shipped scenarios and all faults
@@ -60,23 +60,25 @@
     list: bool,
 }
 
-/// Why there is nothing to play.
+/// Errors in the scenario argument.
 #[derive(Debug, Error)]
 enum PlayError {
-    #[error("no scenario; --list names the shipped ones")]
+    #[error("no scenario given; --list shows the shipped ones")]
     NoScenario,
-    #[error("{name}: {error}; it is no file and no shipped scenario ({SWARM}, {shipped})")]
+    #[error(
+        "{name}: is neither a readable file ({error}) nor a shipped scenario ({SWARM}, {shipped})"
+    )]
     NotFound {
         name: String,
         error: std::io::Error,
         shipped: String,
     },
-    /// One line for each problem of a file.
+    /// Problems in a scenario file, one on each line.
     #[error("{0}")]
     Invalid(String),
 }
 
-/// Plays what the arguments ask for.
+/// Lists, prints or runs scenarios, as the arguments request.
 pub(crate) fn play(args: &Args) -> ExitCode {
     if args.list {
         list();
@@ -101,8 +103,8 @@
             .unwrap_or_default();
         print_line(format!("  {name:20} {about}"));
     }
-    print_line(format!("  {SWARM:20} faults mixed by chance from the seed"));
-    print_line("\nfaults (of [[fault]] tables: kind, at, and):");
+    print_line(format!("  {SWARM:20} faults drawn at random from the seed"));
+    print_line("\nfaults ([[fault]] tables with kind, at, and these fields):");
     for spec in scenario::FAULTS {
         print_line(format!("  {:20} {}", spec.name, spec.about));
         for (name, kind) in spec.fields {
@@ -111,7 +113,7 @@
     }
 }
 
-/// The scenario with this name, or in this file.
+/// Returns the scenario with this name, or reads it from this file.
 fn find(name: &str, seed: u64) -> Result<Scenario, PlayError> {
     if name == SWARM {
         return Ok(scenario::swarm(seed));
@@ -147,9 +149,9 @@
 }
 
 fn play_runs(args: &Args, name: &str) -> Result<ExitCode, PlayError> {
-    // Problems of a scenario are reported before anything is played; a swarm differs with each seed.
+    // Problems in a scenario file are reported before the first run. A swarm is drawn anew for each seed.
     let scenario = find(name, args.seed)?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let runs = args.runs.min((u64::MAX - args.seed).saturating_add(1));
     let run = |number: u64| {
         let seed = args.seed + number;
@@ -170,7 +172,7 @@
     });
     let interrupted = played < runs;
     if args.runs > 1 {
-        let text = summary.text(played, begun.elapsed().as_secs_f64());
+        let text = summary.text(played, started.elapsed().as_secs_f64());
         if interrupted {
             let next = args.seed + played;
             print_line(format!(
@@ -181,7 +183,7 @@
             print_line(text);
         }
     }
-    Ok(if summary.broken > 0 {
+    Ok(if summary.broken_runs > 0 {
         ExitCode::from(exit_code::RULE_BROKEN)
     } else if interrupted {
         ExitCode::from(exit_code::INTERRUPTED)
@@ -190,7 +192,7 @@
     })
 }
 
-/// Runs at a time. With `--log` observations are printed at once: one run at a time.
+/// The number of parallel runs. With `--log` it is 1, since each observation is printed immediately.
 fn jobs(args: &Args) -> usize {
     if args.log {
         return 1;
@@ -202,33 +204,33 @@
 /// Totals over all runs.
 #[derive(Default)]
 struct Summary {
-    /// Seconds of virtual time.
+    /// Total virtual time of the runs, in seconds.
     fleet_seconds: f64,
     /// Runs in which a rule was broken.
-    broken: u64,
-    /// Requests whose client disconnected.
+    broken_runs: u64,
+    /// Requests whose client disconnected before the final response, and late attempts for them.
     disconnects: DisconnectStatistics,
-    /// The largest load of a server that was warming up, as a fraction of its capacity.
+    /// The highest load of any server during its warm-up, as a fraction of the load that it can take.
     max_warming_load: f64,
 }
 
 impl Summary {
     fn add(&mut self, run: &Run) {
         self.fleet_seconds += run.fleet_seconds;
-        self.broken += u64::from(run.rule_broken);
+        self.broken_runs += u64::from(run.rule_broken);
         self.disconnects.requests += run.disconnects.requests;
         self.disconnects.late += run.disconnects.late;
         self.disconnects.sent_on += run.disconnects.sent_on;
         self.max_warming_load = self.max_warming_load.max(run.max_warming_load);
     }
 
-    /// `seconds`: real time that the runs took.
+    /// Formats the summary; `seconds` is the real time that the runs took.
     fn text(&self, runs: u64, seconds: f64) -> String {
         format!(
             "{runs} runs, {} with a broken rule; {:.0} fleet-seconds in {seconds:.1} s: {:.0} a second; \
-             {} requests whose client left, {} sent on over 0.1 s later and {} over 0.35 s; a cold box was sent {:.2} \
-             of what it bears at most",
-            self.broken,
+             {} requests whose client disconnected, with {} attempts over 0.1 s later and {} over 0.35 s later; \
+             highest load of a cold cache server {:.2} of what it can take",
+            self.broken_runs,
             self.fleet_seconds,
             self.fleet_seconds / seconds,
             self.disconnects.requests,
@@ -239,7 +241,7 @@
     }
 }
 
-/// The result of one run.
+/// Result and printed lines of one run.
 struct Run {
     stdout: Vec<String>,
     stderr: Vec<String>,
@@ -260,7 +262,7 @@
             Shown::Logged(line) => print_line(format!("{line} (logged)")),
         }));
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let outcome = virtual_fleet::play(scenario, seed, options);
     let played = PlayedSeed {
         args,
@@ -268,7 +270,7 @@
         seed,
         scenario,
         outcome,
-        seconds: begun.elapsed().as_secs_f64(),
+        seconds: started.elapsed().as_secs_f64(),
     };
     Run {
         stdout: played.report(),
@@ -280,18 +282,19 @@
     }
 }
 
-/// A run that has ended, and what it was played with.
+/// A finished run and its inputs.
 struct PlayedSeed<'a> {
     args: &'a Args,
     name: &'a str,
     seed: u64,
     scenario: &'a Scenario,
     outcome: Outcome,
-    /// Real time that the run took.
+    /// Real time that the run took, in seconds.
     seconds: f64,
 }
 
 impl PlayedSeed<'_> {
+    /// Virtual time of the run, in seconds.
     fn fleet_seconds(&self) -> f64 {
         self.outcome.played as f64 / 1e6
     }
@@ -334,7 +337,7 @@
         let mut total = report.whole();
         vec![
             format!(
-                "{} seed {}: {} nodes, {} boxes; digest {:016x}; {:.0} fleet-seconds a second",
+                "{} seed {}: {} nodes, {} cache servers; digest {:016x}; {:.0} fleet-seconds a second",
                 scenario.name,
                 self.seed,
                 scenario.nodes,
@@ -344,8 +347,8 @@
             ),
             format!("  {}", report.line(&mut total, scenario.seconds)),
             format!(
-                "  worst ten seconds {:.3}; {} attempts, {} retries, {} effects, {} repeats dropped, {} descriptors at \
-                 most, a cold box was sent {:.2} of what it bears",
+                "  worst ten seconds {:.3}; {} attempts, {} client retries, {} writes took effect, {} duplicate writes \
+                 dropped, at most {} descriptors, highest load of a cold cache server {:.2} of what it can take",
                 report.worst_ten(),
                 total.attempts,
                 total.retries,
@@ -357,14 +360,14 @@
         ]
     }
 
-    /// Lines for standard error: broken rules, and how to replay them.
+    /// Lines for standard error: the violations, and the command that replays the run.
     fn violations(&self) -> Vec<String> {
         let violations = &self.outcome.violations;
         let mut lines: Vec<String> = violations
             .iter()
             .map(|violation| format!("BROKEN {violation}"))
             .collect();
-        let Some(first) = violations.first() else {
+        let Some(first_violation) = violations.first() else {
             return lines;
         };
         let (name, seed) = (self.name, self.seed);
@@ -374,9 +377,10 @@
         ));
         if self.args.shrink {
             let protocols = self.args.protocols.for_testbed();
-            let shortest = virtual_fleet::shrink(self.scenario, seed, first.rule, None, protocols);
+            let shortest =
+                virtual_fleet::shrink(self.scenario, seed, first_violation.rule, None, protocols);
             lines.push(format!(
-                "shortest schedule found (save it and play it with --seed {seed}{options}):"
+                "shortest schedule found (save it to a file and run it with --seed {seed}{options}):"
             ));
             lines.push(scenario::write(&shortest).trim_end().to_string());
         }
--- a/crates/sloewick/src/protocol_options.rs
+++ b/crates/sloewick/src/protocol_options.rs
@@ -1,4 +1,4 @@
-//! Options that select the protocols of a fleet's clients and cache servers.
+//! Command-line options that select the protocols of an emulated fleet's clients and cache servers.
 
 use clap::{Args, ValueEnum};
 use sloewick_testbed::site::{Boxes, Clients, Speech};
@@ -9,9 +9,9 @@
     Resp,
     /// The memcached binary protocol
     Memcached,
-    /// Requests alternate between the two protocols
+    /// Alternates between the two protocols
     Both,
-    /// RESP2 by clients that send no more than memcached clients can
+    /// RESP2, restricted to the information that a memcached client can send
     RespByKey,
 }
 
@@ -21,9 +21,9 @@
     Resp,
     /// The memcached binary protocol
     Memcached,
-    /// Every second cache server the memcached binary protocol
+    /// RESP2, and the memcached binary protocol for every second cache server
     Mixed,
-    /// Cache servers that are started during the run the memcached binary protocol
+    /// RESP2, and the memcached binary protocol for cache servers that are started during the run
     Later,
 }
 
@@ -39,7 +39,7 @@
 }
 
 impl ProtocolArgs {
-    /// The options as the testbed takes them.
+    /// Converts the options to the testbed's type.
     pub(crate) fn for_testbed(&self) -> Speech {
         Speech {
             clients: match self.front {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// The options on a command line that repeats a run; those with their default are left out.
+    /// The options as text for a command line that replays a run; options with their default value are left out.
     pub(crate) fn command_line(&self) -> String {
         let mut text = String::new();
         if !matches!(self.front, ClientProtocol::Resp) {
--- a/crates/sloewick/src/run.rs
+++ b/crates/sloewick/src/run.rs
@@ -1,7 +1,7 @@
-//! `sloewick run`: a node of the gateway, until it is signalled to stop.
+//! `sloewick run`: runs a node of the gateway until a signal stops it.
 //!
-//! The configuration is read, checked and completed from the environment before a socket is opened; a node never
-//! starts on one under which nothing could be served.
+//! The configuration is read, checked and completed from the environment before a socket is opened. A node does not
+//! start with a configuration under which it could serve no request.
 
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -22,15 +22,15 @@
 /// Arguments of `sloewick run`.
 #[derive(clap::Args)]
 pub(crate) struct Args {
-    /// Serve memcached clients and use memcached cache servers, as this TOML file configures (see docs/memcached.md)
+    /// Serve memcached clients and use memcached cache servers as configured by this TOML file (see docs/memcached.md)
     #[arg(long, value_name = "FILE")]
     memcached: Option<PathBuf>,
-    /// Write a line for each event to standard error, for `sloewick trace` (see docs/fleet-size.md)
+    /// Write a line for each event to standard error, for use with `sloewick trace` (see docs/fleet-size.md)
     #[arg(long)]
     trace: bool,
 }
 
-/// Why a node does not start, or has ended.
+/// Errors that keep a node from starting, or end it.
 #[derive(Debug, Error)]
 enum RunError {
     #[error("field BALANCER_CONFIG: is not set")]
@@ -52,12 +52,12 @@
     EventLoop(std::io::Error),
 }
 
-/// Runs a node until it is signalled to stop.
+/// Runs a node until a signal stops it.
 pub(crate) fn run(args: &Args) -> ExitCode {
     match run_node(args) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // Not as a line of the log: that is truncated, and the end of this one says what to do.
+            // Written directly: log lines are truncated, and the end of this message says how to fix the problem.
             let _ = writeln!(std::io::stderr(), "{error}");
             ExitCode::from(exit_code::UNUSABLE_INPUT)
         }
@@ -69,9 +69,9 @@
     let config = read_config(&path, args)?;
     let listen = config.listen;
     let mut transport = MioTransport::with_signals().map_err(RunError::Signals)?;
-    if let Some(folder) = std::env::var_os("TMPDIR").filter(|_| config.accept_fd.is_some()) {
-        // Without a snapshot the next process learns anew; this one serves all the same.
-        if let Err(error) = transport.save_snapshots_in(folder.as_ref()) {
+    if let Some(directory) = std::env::var_os("TMPDIR").filter(|_| config.accept_fd.is_some()) {
+        // The node serves without snapshots, but the next process then has to learn its state again.
+        if let Err(error) = transport.save_snapshots_in(directory.as_ref()) {
             let _ = writeln!(std::io::stderr(), "handover: not kept: {error}");
         }
     }
@@ -83,7 +83,7 @@
     node.run().map_err(RunError::EventLoop)
 }
 
-/// The configuration of files, environment and options.
+/// Reads the configuration from files, environment and options.
 fn read_config(path: &str, args: &Args) -> Result<Config, RunError> {
     let text = retry_transient(|| std::fs::read_to_string(path)).map_err(|error| {
         RunError::UnreadableConfiguration {
@@ -109,19 +109,20 @@
     let text = retry_transient(|| std::fs::read_to_string(file))
         .map_err(|error| unusable(error.to_string()))?;
     config::memcached(config, &text).map_err(|problems| {
-        let all: Vec<String> = problems.iter().map(ToString::to_string).collect();
-        unusable(all.join("; "))
+        let messages: Vec<String> = problems.iter().map(ToString::to_string).collect();
+        unusable(messages.join("; "))
     })
 }
 
-/// Parses a configuration, which also has to be meaningful: with a timeout of 0, or a share of 7, nothing is served.
+/// Parses a configuration and rejects values out of range: with a timeout of 0 or a share of 7, a node would serve no
+/// request.
 fn parse_checked(text: &str) -> Result<Config, SettingsError> {
     let problem = config_check::check(text)
         .into_iter()
         .find(|found| found.fatal);
     match (config::parse(text), problem) {
         (Ok(config), None) => Ok(config),
-        // The check names the complete path, the value and an example.
+        // Prefers the error of the check, which has the complete field path, the value and an example.
         (parsed, Some(problem))
             if parsed.is_ok()
                 || problem.field.starts_with("settings.") && problem.value != "missing" =>
--- a/crates/sloewick/src/soak.rs
+++ b/crates/sloewick/src/soak.rs
@@ -1,4 +1,4 @@
-//! `sloewick soak`: planned restarts of real processes, one run for each seed, checked against the rules.
+//! `sloewick soak`: planned restarts of real node processes, one run for each seed, checked against the rules.
 
 use std::collections::BTreeSet;
 use std::path::PathBuf;
@@ -15,7 +15,7 @@
 use crate::output::{print_line, reject_input};
 use crate::parallel_runs;
 
-/// Cores for each seed that is played at the same time.
+/// CPU cores used by each of the seeds that run in parallel.
 const CORES_PER_SEED: usize = 2;
 
 /// Arguments of `sloewick soak`.
@@ -26,21 +26,21 @@
   sloewick soak --seeds 1..50 --json
   sloewick soak --seeds 4711 --only signals --only holds --plays 10
 
-Each seed starts its own fleet on an address of 127.0.0.0/8 and takes some 15 to 40 seconds.")]
+Each seed starts its own fleet on an address of 127.0.0.0/8 and takes about 15 to 40 seconds.")]
 pub(crate) struct Args {
-    /// A seed, or the first and the last one
+    /// A single seed, or the first and last seed of a range
     #[arg(long, value_name = "FIRST..LAST", default_value = "1..4")]
     seeds: SeedRange,
-    /// Play only this part besides restarts; may be given more than once
+    /// Besides restarts, run only this part of the test; can be repeated
     #[arg(long, value_name = "PART")]
     only: Vec<Part>,
-    /// How often a seed with a broken rule is played in all
+    /// Total number of plays of a seed whose first play breaks a rule
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100))]
     plays: u32,
-    /// Program that runs as a node, as `PROGRAM run`; without it this one
+    /// Program to start nodes with, as `PROGRAM run`; by default this program
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Seeds at a time; without it one for each two cores
+    /// Number of seeds in parallel; by default one per two cores
     #[arg(long, value_parser = clap::builder::RangedU64ValueParser::<usize>::new().range(1..=32))]
     jobs: Option<usize>,
     /// Print lines of JSON
@@ -48,16 +48,16 @@
     json: bool,
 }
 
-/// Seeds from `first` to `last`, both included.
+/// An inclusive range of seeds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct SeedRange {
     first: u64,
     last: u64,
 }
 
-/// A text that names no seeds.
+/// An argument that is not a seed or a range of seeds.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("{0:?} is no seed and no range FIRST..LAST of them")]
+#[error("{0:?} is neither a seed nor a range FIRST..LAST of seeds")]
 struct InvalidSeeds(String);
 
 impl FromStr for SeedRange {
@@ -75,26 +75,26 @@
     }
 }
 
-/// Why there is nothing to play.
+/// Errors in the program to start nodes with.
 #[derive(Debug, Error)]
 enum SoakError {
-    #[error("this program can't be found: {0}")]
-    NoProgram(std::io::Error),
-    #[error("--program {}: is no file; a program that runs as a node is wanted", .0.display())]
+    #[error("cannot determine the path of this program: {0}")]
+    NoExecutablePath(std::io::Error),
+    #[error("--program {}: is not a file; must be a program that runs as a node", .0.display())]
     NotAFile(PathBuf),
 }
 
-/// The plays of one seed.
+/// Results of all plays of one seed.
 struct SeedResult {
     seed: u64,
-    /// Plays with a broken rule, of all.
-    broken: u32,
+    /// Plays with a broken rule, or whose fleet did not start.
+    broken_plays: u32,
     plays: u32,
-    /// The first play with a broken rule, or the only one.
-    shown: Result<Outcome, std::io::Error>,
+    /// Outcome of the first play. Only if it breaks a rule, the seed is played again.
+    first_play: Result<Outcome, std::io::Error>,
 }
 
-/// Plays the seeds that the arguments name.
+/// Plays all seeds in parallel and prints their results in order.
 pub(crate) fn soak(args: &Args) -> ExitCode {
     let program = match node_program(args) {
         Ok(program) => program,
@@ -109,7 +109,7 @@
             parts.into_iter().collect()
         },
     };
-    let begun = Instant::now();
+    let started = Instant::now();
     let SeedRange { first, last } = args.seeds;
     let runs = last - first + 1;
     let stop = parallel_runs::interrupt_flag();
@@ -122,11 +122,11 @@
         |result| {
             summary.add(&result);
             report(&result, args);
-            result.broken > 0
+            result.broken_plays > 0
         },
     );
-    summary.print(played, begun.elapsed().as_secs_f64(), args.json);
-    if summary.broken > 0 {
+    summary.print(played, started.elapsed().as_secs_f64(), args.json);
+    if summary.broken_seeds > 0 {
         ExitCode::from(exit_code::RULE_BROKEN)
     } else if played < runs {
         ExitCode::from(exit_code::INTERRUPTED)
@@ -135,12 +135,12 @@
     }
 }
 
-/// The program that runs as a node.
+/// The path of the program to start nodes with.
 fn node_program(args: &Args) -> Result<PathBuf, SoakError> {
     match &args.program {
         Some(program) if program.is_file() => Ok(program.clone()),
         Some(program) => Err(SoakError::NotAFile(program.clone())),
-        None => std::env::current_exe().map_err(SoakError::NoProgram),
+        None => std::env::current_exe().map_err(SoakError::NoExecutablePath),
     }
 }
 
@@ -149,37 +149,37 @@
     args.jobs.unwrap_or((cores / CORES_PER_SEED).max(1))
 }
 
-/// Plays a seed once, and again if a rule was broken.
+/// Plays a seed once, and again up to `plays` times in all if a rule was broken or the fleet did not start.
 fn play_seed(seed: u64, plays: u32, options: &Options) -> SeedResult {
     let is_broken = |outcome: &std::io::Result<Outcome>| {
         outcome
             .as_ref()
             .map_or(true, |outcome| !outcome.violations.is_empty())
     };
-    let shown = restart_soak::play(seed, options);
+    let first_play = restart_soak::play(seed, options);
     let mut result = SeedResult {
         seed,
-        broken: u32::from(is_broken(&shown)),
+        broken_plays: u32::from(is_broken(&first_play)),
         plays: 1,
-        shown,
+        first_play,
     };
-    while result.broken > 0 && result.plays < plays {
+    while result.broken_plays > 0 && result.plays < plays {
         result.plays += 1;
-        result.broken += u32::from(is_broken(&restart_soak::play(seed, options)));
+        result.broken_plays += u32::from(is_broken(&restart_soak::play(seed, options)));
     }
     result
 }
 
 fn report(result: &SeedResult, args: &Args) {
-    match &result.shown {
+    match &result.first_play {
         Ok(outcome) if args.json => print_line(seed_json(result, outcome).to_string()),
         Ok(outcome) => print_line(seed_text(result.seed, outcome)),
         Err(error) => print_line(format!(
-            "seed {}: the fleet does not start: {error}",
+            "seed {}: cannot start the fleet: {error}",
             result.seed
         )),
     }
-    let Ok(outcome) = &result.shown else {
+    let Ok(outcome) = &result.first_play else {
         return;
     };
     for violation in &outcome.violations {
@@ -188,7 +188,7 @@
     for line in &outcome.log_lines {
         eprintln!("    {line}");
     }
-    if result.broken > 0 {
+    if result.broken_plays > 0 {
         let only: Vec<String> = args
             .only
             .iter()
@@ -197,8 +197,8 @@
         let program = args.program.as_ref();
         let program = program.map(|path| format!(" --program {}", path.display()));
         eprintln!(
-            "seen in {} of {} plays; replay: sloewick soak --seeds {}{}{}",
-            result.broken,
+            "a rule was broken in {} of {} plays; replay: sloewick soak --seeds {}{}{}",
+            result.broken_plays,
             result.plays,
             result.seed,
             only.concat(),
@@ -222,7 +222,7 @@
 
 fn counts_text(counts: &Counts) -> String {
     format!(
-        "{} requests ({} served, {} rejected, {} failed, {} left, {} closed), {} restarts, {} signals, at most {} \
+        "{} requests ({} served, {} rejected, {} failed, {} disconnected, {} closed), {} restarts, {} signals, at most {} \
          descriptors and {} MB, longest stall of the run {} ms",
         counts.requests,
         counts.served,
@@ -251,7 +251,7 @@
     let mut json = counts_json(&outcome.counts);
     json["seed"] = result.seed.into();
     json["nodes"] = outcome.plan.scenario.nodes.into();
-    json["broken_plays"] = result.broken.into();
+    json["broken_plays"] = result.broken_plays.into();
     json["plays"] = result.plays.into();
     let violations: Vec<String> = outcome
         .violations
@@ -267,34 +267,34 @@
 struct Summary {
     counts: Counts,
     /// Seeds in which a rule was broken, or whose fleet did not start.
-    broken: u64,
+    broken_seeds: u64,
     violations: u64,
 }
 
 impl Summary {
     fn add(&mut self, result: &SeedResult) {
-        self.broken += u64::from(result.broken > 0);
-        let Ok(outcome) = &result.shown else {
+        self.broken_seeds += u64::from(result.broken_plays > 0);
+        let Ok(outcome) = &result.first_play else {
             return;
         };
         self.violations += outcome.violations.len() as u64;
         self.counts += outcome.counts;
     }
 
-    /// `seconds`: real time that all took.
+    /// Prints the totals; `seconds` is the real time that all seeds took.
     fn print(&self, seeds: u64, seconds: f64, json: bool) {
         if json {
             let mut line = counts_json(&self.counts);
             line["summary"] = true.into();
             line["seeds"] = seeds.into();
-            line["broken_seeds"] = self.broken.into();
+            line["broken_seeds"] = self.broken_seeds.into();
             line["violations"] = self.violations.into();
             line["seconds"] = seconds.into();
             return print_line(line.to_string());
         }
         print_line(format!(
             "{seeds} seeds in {seconds:.0} s, {} with a broken rule; {}",
-            self.broken,
+            self.broken_seeds,
             counts_text(&self.counts)
         ));
     }
--- a/crates/sloewick/src/soak_tests.rs
+++ b/crates/sloewick/src/soak_tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn seeds_are_one_or_a_range_with_both_ends() {
+fn seeds_are_parsed_as_one_seed_or_an_inclusive_range() {
     let range = |first, last| Ok(SeedRange { first, last });
     assert_eq!("7".parse(), range(7, 7));
     assert_eq!("1..50".parse(), range(1, 50));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn counts_add_up_and_maxima_stay_maxima() {
+fn adding_counts_sums_totals_and_keeps_maxima() {
     let mut sum = Counts {
         requests: 2,
         max_memory_mb: 9,
--- a/crates/sloewick/src/trace.rs
+++ b/crates/sloewick/src/trace.rs
@@ -1,6 +1,6 @@
-//! `sloewick trace`: counts the events in the traces of a fleet's nodes, second by second.
+//! `sloewick trace`: counts the events in the traces of a fleet's nodes, for each second.
 //!
-//! Reads the logs that this version and the one before write; memory is bounded whatever the files hold.
+//! Reads logs written by this version and by the previous one. Memory use is bounded for any content of the files.
 
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
@@ -21,20 +21,21 @@
   sloewick trace logs --from 5 --to 12 --servers 10
   sloewick trace logs --json
 
-Each file of the folder is one node's log, written by `sloewick run --trace`. A number of seconds in front of a line,
-as a collector of logs may put it, is the fleet's time; without it the node's own time counts.
+Each file in the folder is the log of one node, written by `sloewick run --trace`. If a line starts with a number of
+seconds, as added by a log collector, this is the time of its event on the fleet's clock; otherwise the node's own time
+is used.
 
-Exit codes: 0 done, 2 input that can't be used.")]
+Exit codes: 0 success, 2 unusable input.")]
 pub(crate) struct Args {
     /// The folder with the nodes' logs
     folder: PathBuf,
-    /// Count from this second on
+    /// Count events from this second on
     #[arg(long, value_name = "SECONDS", default_value_t = 0.0)]
     from: f64,
-    /// Count until this second
+    /// Count events before this second
     #[arg(long, value_name = "SECONDS")]
     to: Option<f64>,
-    /// Also list this many servers, those with the most attempts without a reply first
+    /// Also list this many cache servers, those with the most failed attempts first
     #[arg(long, value_name = "N", default_value_t = 0)]
     servers: usize,
     /// Print the counts as JSON
@@ -42,26 +43,27 @@
     json: bool,
 }
 
-/// Longest line that is read, in bytes; the node writes none over 400 characters.
+/// Maximum number of bytes read as one line. Nodes write lines of at most 400 characters.
 const MAX_LINE_BYTES: u64 = 4096;
-/// Seconds that are counted; later lines are reported as unread.
+/// Events from this second on are not counted, but reported as unreadable lines.
 const MAX_SECONDS: u64 = 100_000;
-/// Servers that are counted.
+/// Maximum number of servers that are counted separately; events of further servers count in the totals only.
 const MAX_SERVERS: usize = 10_000;
-/// Requests of one node that are followed at a time.
+/// Maximum number of open requests tracked for one node; when it is reached, all tracked requests are dropped.
 const MAX_OPEN_REQUESTS: usize = 100_000;
 
-/// What begins a line of the trace, behind the collector's time.
-const TRACE_MARK: &str = "trace t=";
-/// Stands for a field that a line does not have.
+/// Start of an event in a line; the collector's time may precede it.
+const TRACE_MARKER: &str = "trace t=";
+/// Value reported for a field that a line does not have.
 const MISSING_FIELD: &str = "untold";
 
+/// Number of events by the name of their row in the table.
 type Counts = BTreeMap<String, u64>;
 
-/// Why nothing can be counted.
+/// Errors that keep traces from being counted.
 #[derive(Debug, Error)]
 enum TraceError {
-    #[error("--from, --to: must be seconds from 0 on, the second beyond the first")]
+    #[error("--from, --to: must be seconds of at least 0, and --to must be greater than --from")]
     Window,
     #[error("{path}: {error}")]
     Unreadable { path: String, error: std::io::Error },
@@ -69,7 +71,7 @@
     NoTrace { folder: String, files: usize },
 }
 
-/// The seconds that are counted: from `from` on, before `to`.
+/// The period in which events are counted, in seconds: from `from` (inclusive) to `to` (exclusive).
 #[derive(Clone, Copy)]
 struct Window {
     from: f64,
@@ -89,21 +91,21 @@
     }
 }
 
-/// A line of the trace.
+/// An event, parsed from a line of the trace.
 struct Event<'a> {
-    /// Seconds: the collector's time if it stands in front, else the node's own.
+    /// Time in seconds: the collector's time if the line starts with it, otherwise the node's own.
     second: f64,
     kind: &'a str,
     fields: HashMap<&'a str, &'a str>,
 }
 
 impl<'a> Event<'a> {
-    /// Parses the text in front of the mark, and the text behind it.
-    fn parse(before: &str, trace: &'a str) -> Option<Event<'a>> {
+    /// Parses an event from the text before and after [`TRACE_MARKER`] in a line.
+    fn parse(prefix: &str, trace: &'a str) -> Option<Event<'a>> {
         let mut words = trace.split_whitespace();
         let node_time = words.next()?.parse::<u64>().ok()?;
         let kind = words.next()?;
-        let collector_time = before
+        let collector_time = prefix
             .trim()
             .parse::<f64>()
             .ok()
@@ -120,7 +122,7 @@
     }
 }
 
-/// Attempts so far of each request of one node that has not ended.
+/// Number of attempts so far, by id, for each open request of one node.
 #[derive(Default)]
 struct OpenRequests(HashMap<String, u32>);
 
@@ -132,7 +134,7 @@
         self.0.insert(id.to_string(), 0);
     }
 
-    /// Counts an attempt; its ordinal.
+    /// Counts an attempt and returns its ordinal.
     fn attempt(&mut self, id: &str) -> &'static str {
         let attempts = self.0.entry(id.to_string()).or_default();
         *attempts += 1;
@@ -147,7 +149,7 @@
         self.0.remove(id);
     }
 
-    /// The row that counts this event; none for an unknown kind.
+    /// Updates the open requests and returns the row that counts this event, or None for an unknown kind.
     fn row(&mut self, event: &Event<'_>) -> Option<String> {
         let field = |name: &str| event.field(name);
         Some(match event.kind {
@@ -176,27 +178,27 @@
 struct Summary {
     seconds: BTreeMap<u64, Counts>,
     servers: HashMap<String, Counts>,
-    /// Lines of the trace that could not be parsed, or lay beyond the bounds.
-    unread: u64,
+    /// Trace lines that could not be parsed, or whose time is [`MAX_SECONDS`] or later.
+    unreadable_lines: u64,
 }
 
 impl Summary {
-    /// Counts a line of a log; those that are not of the trace are skipped.
+    /// Counts the event in a line of a log; skips lines without an event.
     fn add_line(&mut self, line: &str, window: Window, open: &mut OpenRequests) {
-        let Some((before, trace)) = line.split_once(TRACE_MARK) else {
+        let Some((prefix, trace)) = line.split_once(TRACE_MARKER) else {
             return;
         };
-        let event = Event::parse(before, trace);
+        let event = Event::parse(prefix, trace);
         let row = event.as_ref().and_then(|event| open.row(event));
         let (Some(event), Some(row)) = (event, row) else {
-            self.unread += 1;
+            self.unreadable_lines += 1;
             return;
         };
         if !window.contains(event.second) {
             return;
         }
         if event.second >= MAX_SECONDS as f64 {
-            self.unread += 1;
+            self.unreadable_lines += 1;
             return;
         }
         self.count_server(&event, &row);
@@ -222,18 +224,18 @@
         total
     }
 
-    /// Ratios over all seconds, with their names.
+    /// Names and values of ratios over all seconds.
     fn ratios(&self) -> Vec<(&'static str, f64)> {
         let total = self.total();
-        let sum = |start: &str| -> f64 {
+        let sum = |prefix: &str| -> f64 {
             total
                 .iter()
-                .filter(|(key, _)| key.starts_with(start))
+                .filter(|(key, _)| key.starts_with(prefix))
                 .map(|(_, n)| *n)
                 .sum::<u64>() as f64
         };
-        let fraction = |of: f64, all: f64| if all > 0.0 { of / all } else { 0.0 };
-        let (requests, first) = (sum("requests"), sum("attempts, first"));
+        let fraction = |part: f64, whole: f64| if whole > 0.0 { part / whole } else { 0.0 };
+        let (requests, first_attempts) = (sum("requests"), sum("attempts, first"));
         vec![
             (
                 "connections opened for 1,000 requests",
@@ -245,7 +247,7 @@
             ),
             (
                 "second and later attempts over first ones",
-                fraction(sum("attempts") - first, first),
+                fraction(sum("attempts") - first_attempts, first_attempts),
             ),
             (
                 "attempts that timed out, of all that ended",
@@ -262,27 +264,31 @@
         ]
     }
 
-    /// At most `max` servers, those with the most attempts without a reply first.
+    /// At most `max` servers, sorted by the number of failed attempts, highest first.
     fn worst_servers(&self, max: usize) -> Vec<(&String, &Counts)> {
-        let lost = |counts: &Counts| -> u64 {
+        let failed_attempts = |counts: &Counts| -> u64 {
             let count = |key: &str| counts.get(key).copied().unwrap_or(0);
             count("outcomes, Timeout") + count("outcomes, ConnectFailed") + count("outcomes, Error")
         };
         let mut all: Vec<_> = self.servers.iter().collect();
-        all.sort_by(|a, b| lost(b.1).cmp(&lost(a.1)).then_with(|| a.0.cmp(b.0)));
+        all.sort_by(|a, b| {
+            failed_attempts(b.1)
+                .cmp(&failed_attempts(a.1))
+                .then_with(|| a.0.cmp(b.0))
+        });
         all.truncate(max);
         all
     }
 }
 
-/// Counts one node's log.
+/// Counts the events in one node's log.
 fn read_log(path: &Path, window: Window, summary: &mut Summary) -> std::io::Result<()> {
     let mut reader = BufReader::new(File::open(path)?);
     let mut open = OpenRequests::default();
     let mut line = Vec::new();
     loop {
         line.clear();
-        // A file that is no log and has no end of line is read in pieces.
+        // Limits the buffer, since a file that is not a log may have no line ends.
         if (&mut reader)
             .take(MAX_LINE_BYTES)
             .read_until(b'\n', &mut line)?
@@ -294,7 +300,7 @@
     }
 }
 
-/// Counts over a folder of logs.
+/// Counts over all logs in a folder.
 struct FolderSummary {
     counts: Summary,
     nodes: usize,
@@ -334,11 +340,11 @@
     print_line(format!(
         "{nodes} nodes; seconds across, counts over all nodes"
     ));
-    let mut head = String::new();
+    let mut header = String::new();
     for second in summary.seconds.keys() {
-        let _ = write!(head, "{second:>6}");
+        let _ = write!(header, "{second:>6}");
     }
-    print_line(format!("{:<34}{head}{:>8}", "", "all"));
+    print_line(format!("{:<34}{header}{:>8}", "", "all"));
     for (key, all) in summary.total() {
         let mut row = String::new();
         for counts in summary.seconds.values() {
@@ -346,17 +352,17 @@
         }
         print_line(format!("{key:<34}{row}{all:>8}"));
     }
-    for (what, ratio) in summary.ratios() {
-        print_line(format!("{what}: {ratio:.3}"));
+    for (name, ratio) in summary.ratios() {
+        print_line(format!("{name}: {ratio:.3}"));
     }
     for (server, counts) in summary.worst_servers(servers) {
         let text: Vec<String> = counts.iter().map(|(key, n)| format!("{key} {n}")).collect();
         print_line(format!("{server}: {}", text.join("; ")));
     }
-    if summary.unread > 0 {
+    if summary.unreadable_lines > 0 {
         print_line(format!(
             "{} lines of the trace could not be read",
-            summary.unread
+            summary.unreadable_lines
         ));
     }
 }
@@ -367,12 +373,12 @@
     let servers: BTreeMap<_, _> = summary.worst_servers(servers).into_iter().collect();
     let json = serde_json::json!({
         "nodes": folder.nodes, "seconds": summary.seconds, "all": summary.total(),
-        "ratios": ratios, "servers": servers, "unread": summary.unread,
+        "ratios": ratios, "servers": servers, "unread": summary.unreadable_lines,
     });
     print_line(json.to_string());
 }
 
-/// Counts and prints the traces in a folder.
+/// Counts the events in a folder of traces and prints the counts.
 pub(crate) fn trace(args: &Args) -> ExitCode {
     let folder = match read_folder(args) {
         Ok(folder) => folder,
--- a/crates/sloewick/src/trace_tests.rs
+++ b/crates/sloewick/src/trace_tests.rs
@@ -20,11 +20,11 @@
     "1.600 trace t=1100010 send id=a server=s2",
     "1.610 trace t=1100020 outcome id=a n=0 server=s1 us=1100000 how=Timeout",
     "1.700 trace t=1200000 end id=a how=refused why=time",
-    "sick: s1 paused 750 ms after silence",
+    "outlier: s1 has lost most of its keys",
 ];
 
 #[test]
-fn events_are_counted_by_the_collectors_second() {
+fn events_are_counted_in_the_second_of_the_collectors_time() {
     let summary = count(&LOG, ALL_SECONDS);
     let at = |second: u64, key: &str| summary.seconds[&second].get(key).copied().unwrap_or(0);
     assert_eq!(
@@ -43,24 +43,24 @@
 }
 
 #[test]
-fn window_excludes_other_seconds_and_the_nodes_time_counts_without_the_collectors() {
+fn events_outside_the_window_are_not_counted_and_the_nodes_time_is_used_without_the_collectors() {
     let late = count(&LOG, Window { from: 1.0, to: 2.0 });
     assert_eq!(late.seconds.keys().copied().collect::<Vec<_>>(), [1]);
-    // The first attempt was before the window, and still the second one is the second.
+    // The first attempt was before the window; the second one is still counted as the second.
     assert_eq!(late.seconds[&1]["attempts, second"], 1);
     let own = count(&["trace t=3000000 ask watch=1"], ALL_SECONDS);
     assert_eq!(own.seconds[&3]["calls to discovery"], 1);
 }
 
 #[test]
-fn unreadable_lines_are_counted_as_unread_only() {
+fn unreadable_lines_are_counted_separately_from_events() {
     let invalid = [
         "trace t=",
         "trace t=x send id=a",
-        "1 trace t=1 dance",
+        "1 trace t=1 unknown",
         "9e9 trace t=1 ask watch=1",
     ];
     let summary = count(&invalid, ALL_SECONDS);
-    assert_eq!((summary.unread, summary.seconds.len()), (4, 0));
+    assert_eq!((summary.unreadable_lines, summary.seconds.len()), (4, 0));
     assert!(summary.ratios().iter().all(|(_, ratio)| *ratio == 0.0));
 }
