--- a/crates/sloewick/tests/support/admin.rs
+++ b/crates/sloewick/tests/support/admin.rs
@@ -1,4 +1,4 @@
-//! Client of the node's admin interface.
+//! Requests to the node's admin interface.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,15 +9,18 @@
 const READY_REQUEST: &str = "GET /api/ready HTTP/1.1\r\nHost: n1\r\n\r\n";
 const STATUS_OK: &str = "HTTP/1.1 200 ";
 
-/// Sends a request, as soon as the node listens; status and body of the response.
+/// Waits until the node listens, sends a request and returns the status and body of the response.
 pub(crate) fn admin_request(admin: SocketAddr, method: &str, path: &str) -> (u16, String) {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut stream = loop {
         match TcpStream::connect(admin) {
             Ok(stream) => break stream,
             Err(_) => std::thread::sleep(Duration::from_millis(2)),
         }
-        assert!(begun.elapsed() < WAIT_LIMIT, "nobody takes calls");
+        assert!(
+            started.elapsed() < WAIT_LIMIT,
+            "the admin interface does not listen"
+        );
     };
     stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
     stream
@@ -25,19 +28,19 @@
         .unwrap();
     let mut text = String::new();
     stream.read_to_string(&mut text).unwrap();
-    let (head, body) = text.split_once("\r\n\r\n").unwrap();
+    let (header, body) = text.split_once("\r\n\r\n").unwrap();
     (
-        head.split(' ').nth(1).unwrap().parse().unwrap(),
+        header.split(' ').nth(1).unwrap().parse().unwrap(),
         body.to_string(),
     )
 }
 
-/// Whether a node that runs, or is about to listen, is ready.
+/// Waits until the node listens and returns whether it reports that it is ready.
 pub(crate) fn is_ready(admin: SocketAddr) -> bool {
     admin_request(admin, "GET", "/api/ready").0 == 200
 }
 
-/// Whether somebody listens now and is ready.
+/// Whether a node listens at this moment and reports that it is ready.
 pub(crate) fn listens_and_is_ready(admin: SocketAddr) -> bool {
     let Ok(stream) = TcpStream::connect(admin) else {
         return false;
@@ -47,7 +50,8 @@
     client.read_to_end().starts_with(STATUS_OK)
 }
 
-/// Whether a process that was signalled to stop says so, or has ended, at any moment of the request.
+/// Whether a process that was signalled to stop no longer reports that it is ready. True also if the process ends before
+/// or during the request.
 pub(crate) fn is_stopping(admin: SocketAddr) -> bool {
     let Ok(mut stream) = TcpStream::connect(admin) else {
         return true;
@@ -59,7 +63,7 @@
     !text.starts_with(STATUS_OK)
 }
 
-/// The value of a metric.
+/// The value of this metric in the node's telemetry; panics if it is missing.
 pub(crate) fn metric(admin: SocketAddr, name: &str) -> u64 {
     let text = admin_request(admin, "GET", "/api/telemetry").1;
     let line = text
--- a/crates/sloewick/tests/support/cache_server.rs
+++ b/crates/sloewick/tests/support/cache_server.rs
@@ -1,4 +1,4 @@
-//! Cache servers: what they accept, what they reply, and one that serves by itself.
+//! Cache servers: scripted connections and replies, a server with a full listen queue, and one that replies by itself.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -8,7 +8,7 @@
 
 use super::{command, listener, settings, target, Node, Peer, WAIT_LIMIT};
 
-/// A cache server's reply with a value that it had cached.
+/// Encodes a cache server's reply with a cached value.
 pub(crate) fn hit_reply(value: &[u8]) -> Vec<u8> {
     let mut out = format!("*3\r\n${}\r\n", value.len()).into_bytes();
     out.extend_from_slice(value);
@@ -21,21 +21,25 @@
     accept_either(std::slice::from_ref(listener)).1
 }
 
-/// Accepts the node's next connection to one of these; the index of the listener, and the connection.
+/// Accepts the node's next connection to any of these listeners; returns the index of the listener and the connection.
 pub(crate) fn accept_either(listeners: &[TcpListener]) -> (usize, Peer) {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         for (i, listener) in listeners.iter().enumerate() {
             if let Some(conn) = try_accept(listener) {
                 return (i, conn);
             }
         }
-        assert!(begun.elapsed() < WAIT_LIMIT, "no connection came");
+        assert!(
+            started.elapsed() < WAIT_LIMIT,
+            "no connection from the node"
+        );
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Serves a request on a new connection with its own id as the value; the server's side of the connection.
+/// Sends a request that the node forwards on a new connection, and replies with the request id as the value. Returns the
+/// server's end of that connection.
 pub(crate) fn exchange(client: &mut Peer, server: &TcpListener, id: &str) -> Peer {
     client.send_get(id);
     let mut conn = accept(server);
@@ -45,34 +49,34 @@
     conn
 }
 
-/// Waits for a connection with data: one of `conns`, or a new one, which is added to them. For tests in which it does
-/// not matter whether the node reuses a connection.
+/// Waits for a connection with data, which is one of `conns` or a new one, and returns it; adds new connections to
+/// `conns`. For tests in which it does not matter whether the node reuses a connection.
 pub(crate) fn next_readable<'a>(conns: &'a mut Vec<Peer>, server: &TcpListener) -> &'a mut Peer {
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         accept_pending(server, conns);
         if let Some(at) = conns.iter().position(Peer::has_data) {
             return &mut conns[at];
         }
-        assert!(begun.elapsed() < WAIT_LIMIT, "nothing came");
+        assert!(started.elapsed() < WAIT_LIMIT, "no data from the node");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
 
-/// Sends requests until one arrives on `conn`, which is reused once it has been idle for a moment after its last
-/// reply. Returns that request's id; all others are served on connections that end then, so that `conn` is the only
-/// one to reuse.
+/// Sends requests until one arrives on `conn`, and returns the id of that request. The node reuses `conn` only after it
+/// has been idle for a moment since its last reply. Requests before that arrive on new connections, which are closed after
+/// the reply, so that `conn` remains the only connection that can be reused.
 pub(crate) fn request_on_reused_connection(
     client: &mut Peer,
     server: &TcpListener,
     conn: &mut Peer,
     id: &str,
 ) -> String {
-    let begun = Instant::now();
+    let started = Instant::now();
     for n in 0.. {
         assert!(
-            begun.elapsed() < WAIT_LIMIT,
-            "the connection is not used again"
+            started.elapsed() < WAIT_LIMIT,
+            "the node does not reuse the connection"
         );
         let id = format!("{id}-{n}");
         client.send_get(&id);
@@ -83,7 +87,10 @@
             if let Some(conn) = try_accept(server) {
                 break Some(conn);
             }
-            assert!(begun.elapsed() < WAIT_LIMIT, "{id} did not come");
+            assert!(
+                started.elapsed() < WAIT_LIMIT,
+                "request {id} was not forwarded"
+            );
         };
         let Some(mut other) = other else {
             assert_eq!(conn.read_command()[2], id);
@@ -97,7 +104,7 @@
     unreachable!()
 }
 
-/// Accepts a connection that waits already.
+/// Accepts a connection that is already waiting in the listen queue, if there is one.
 pub(crate) fn try_accept(listener: &TcpListener) -> Option<Peer> {
     listener.set_nonblocking(true).unwrap();
     let (stream, _) = listener.accept().ok()?;
@@ -105,26 +112,26 @@
     Some(Peer::new(stream))
 }
 
-/// Accepts all connections that wait already.
+/// Accepts all connections that are already waiting in the listen queue, and adds them to `conns`.
 pub(crate) fn accept_pending(listener: &TcpListener, conns: &mut Vec<Peer>) {
     while let Some(conn) = try_accept(listener) {
         conns.push(conn);
     }
 }
 
-/// Accepts the next connection and reads the request with this id from it.
+/// Accepts the next connection and reads a request from it, which must have this id.
 pub(crate) fn accept_request(listener: &TcpListener, id: &str) -> Peer {
     let mut conn = accept(listener);
     assert_eq!(conn.read_command()[2], id);
     conn
 }
 
-/// A node in front of one cache server, which has received a client's request `r1` and not replied yet.
+/// A node in front of one cache server that has received a client's request `r1` and has not replied yet.
 pub(crate) struct ForwardedRequest {
     pub(crate) server: TcpListener,
     pub(crate) node: Node,
     pub(crate) client: Peer,
-    /// The server's side of the connection on which the request came.
+    /// The server's end of the connection on which the request arrived.
     pub(crate) conn: Peer,
 }
 
@@ -147,7 +154,8 @@
         }
     }
 
-    /// With a request whose value the server has begun to read: more than the kernel takes from the node meanwhile.
+    /// With a write request that the node is still sending: the server has read only its start, and the rest of its value
+    /// is larger than the socket buffers.
     pub(crate) fn with_write_in_progress() -> ForwardedRequest {
         let server = listener();
         let node = Node::with_server(&server);
@@ -174,22 +182,23 @@
     }
 }
 
-/// A server whose listen queue is full: connections to it stay half open until it is unblocked.
+/// A cache server whose listen queue is full: connections to it are not established until it is unblocked.
 pub(crate) struct BlockedServer {
     pub(crate) listener: TcpListener,
+    /// Connections that fill the listen queue.
     fillers: Vec<TcpStream>,
 }
 
 impl BlockedServer {
     pub(crate) fn new() -> BlockedServer {
         let listener = listener();
-        // One connection fits into the queue; while it is there, all others wait.
+        // With a backlog of 0 the queue holds one connection; further ones wait until it is accepted.
         rustix::net::listen(&listener, 0).unwrap();
         let fillers = vec![TcpStream::connect(listener.local_addr().unwrap()).unwrap()];
         BlockedServer { listener, fillers }
     }
 
-    /// Lets the waiting connections in; their system tries again within a second or three.
+    /// Lets waiting connections be established. Their kernel retries within one to three seconds.
     pub(crate) fn unblock(&mut self) {
         drop(self.listener.accept().unwrap());
         self.fillers.clear();
@@ -197,14 +206,16 @@
     }
 }
 
-/// Lines of a command of four words.
-const LINES_OF_REQUEST: usize = 9;
+/// Lines of an encoded command of four words: its header, and two lines per word.
+const LINES_PER_REQUEST: usize = 9;
 
-/// A cache server that replies by itself, polled by a thread of the test.
+/// A cache server that replies to requests by itself whenever the test polls it.
 pub(crate) struct CacheServer<Reply> {
     listener: TcpListener,
+    /// Open connections, each with the bytes received of its current request.
     conns: Vec<(TcpStream, Vec<u8>)>,
-    /// The reply, if any, to the request with this id, which has arrived since this moment.
+    /// Returns the reply, if any, to the request with this id; the request arrived after the given time, which is that of
+    /// the previous poll.
     reply: Reply,
     last_poll: Instant,
 }
@@ -220,8 +231,8 @@
         }
     }
 
-    /// Accepts what waits, and reads and replies to one request at most on each connection. No client sends a second
-    /// one before it has the reply.
+    /// Accepts waiting connections, and handles at most one request on each connection. This suffices since no client sends
+    /// a second request before it has the reply to the first.
     pub(crate) fn poll(&mut self) {
         while let Ok((stream, _)) = self.listener.accept() {
             stream.set_nonblocking(true).unwrap();
@@ -241,11 +252,11 @@
         for (stream, buffer) in &mut self.conns {
             let text = String::from_utf8_lossy(buffer).into_owned();
             let lines: Vec<&str> = text.split("\r\n").collect();
-            if lines.len() <= LINES_OF_REQUEST {
+            if lines.len() <= LINES_PER_REQUEST {
                 continue;
             }
             buffer.clear();
-            // A word is two lines; the id is the third word behind the command's head.
+            // Line 0 is the header, and each word has a length line and a text line: the id is the third word.
             if let Some(reply) = (self.reply)(lines[6], self.last_poll) {
                 let _ = stream.write_all(&reply);
             }
@@ -254,7 +265,7 @@
     }
 }
 
-/// A cache server that replies with this value at once, as long as the test runs.
+/// Starts a cache server that replies to every request with this value, until the test process ends.
 pub(crate) fn serve_all(listener: TcpListener, value: &'static [u8]) {
     std::thread::spawn(move || {
         let mut server = CacheServer::new(listener, |_, _| Some(hit_reply(value)));
@@ -265,9 +276,10 @@
     });
 }
 
-/// The line that a client gets for one request, to which the server does this.
-pub(crate) fn reply_when_server(does: impl FnOnce(Peer)) -> String {
+/// Forwards a request, lets `act` handle the server's end of its connection, and returns the first line that the client
+/// receives.
+pub(crate) fn reply_when_server(act: impl FnOnce(Peer)) -> String {
     let mut request = ForwardedRequest::new();
-    does(request.conn);
+    act(request.conn);
     request.client.read_line()
 }
--- a/crates/sloewick/tests/support/client.rs
+++ b/crates/sloewick/tests/support/client.rs
@@ -1,10 +1,10 @@
-//! What clients send, and how they disconnect.
+//! Requests of clients, and ways in which clients disconnect.
 
 use std::net::Shutdown;
 
 use super::Peer;
 
-/// A RESP2 command.
+/// Encodes a RESP2 command.
 pub(crate) fn command(words: &[&[u8]]) -> Vec<u8> {
     let mut out = format!("*{}\r\n", words.len()).into_bytes();
     for word in words {
@@ -15,23 +15,23 @@
     out
 }
 
-/// A read of key `k1` with this request id.
+/// A read of key `k1` with this class, request id and deadline.
 pub(crate) fn get_command(class: &str, id: &str, deadline_ms: u32) -> Vec<u8> {
     let fields = format!("c={class},t=acme,d={deadline_ms}");
     command(&[b"C.GET", b"k1", id.as_bytes(), fields.as_bytes()])
 }
 
-/// A read of class `read` with a deadline of 20 s.
+/// A read of key `k1` in class `read` with a deadline of 20 s.
 pub(crate) fn read_request(id: &str) -> Vec<u8> {
     get_command("read", id, 20_000)
 }
 
-/// How a client, or a server, disconnects.
+/// How a client or a cache server disconnects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Disconnect {
     Close,
     Reset,
-    /// It ends its sending and still reads.
+    /// Shuts down its writing side and still reads.
     HalfClose,
 }
 
@@ -39,7 +39,7 @@
     pub(crate) const ALL: [Disconnect; 3] =
         [Disconnect::Close, Disconnect::Reset, Disconnect::HalfClose];
 
-    /// Disconnects; a peer that still reads is handed back.
+    /// Disconnects; returns the peer if it can still read.
     pub(crate) fn apply(self, peer: Peer) -> Option<Peer> {
         match self {
             Disconnect::Close => peer.close(),
--- a/crates/sloewick/tests/support/config.rs
+++ b/crates/sloewick/tests/support/config.rs
@@ -1,11 +1,11 @@
-//! Configuration of the nodes under test.
+//! Configuration and settings of the nodes under test.
 
 use std::net::TcpListener;
 
 use serde_json::{json, Value};
 
-/// Settings under which nothing happens by time alone unless a test says so: classes `read` (idempotent) and `once`
-/// (single shot: rejected only if it cannot have run), one attempt each, the endpoint list pushed.
+/// Settings with time limits so long that no timer interferes with a test: classes `read` (idempotent) and `once` (single
+/// shot: rejected only if it cannot have run), one attempt per request, the endpoint list pushed by discovery.
 pub(crate) fn settings() -> Value {
     let class = |name: &str, repeat: &str| json!({"name": name, "aim": 20_000.0, "deadline": 20_000.0, "repeat": repeat, "worth": 1.0});
     json!({
@@ -27,7 +27,7 @@
     settings
 }
 
-/// Settings with this deadline, in milliseconds, in all classes.
+/// Settings with this deadline, in milliseconds, for all classes.
 pub(crate) fn settings_with_deadline(deadline_ms: f64) -> Value {
     let mut settings = settings();
     for class in settings["classes"].as_array_mut().unwrap() {
@@ -36,17 +36,18 @@
     settings
 }
 
-/// An endpoint at this address, as the endpoint list names it.
+/// The entry of an endpoint list for a cache server at this address.
 pub(crate) fn target_at(uid: &str, endpoint: &str) -> Value {
     json!({"uid": uid, "endpoint": endpoint, "az": "a", "model": "m",
            "pod_group": 0, "state": "in_service", "capacity_hint": 1.0, "boot_ms": 0})
 }
 
+/// The entry of an endpoint list for the cache server with this listener.
 pub(crate) fn target(uid: &str, server: &TcpListener) -> Value {
     target_at(uid, &server.local_addr().unwrap().to_string())
 }
 
-/// Two cache servers and their endpoints.
+/// Listeners of two cache servers, and their entries `s-1` and `s-2` for an endpoint list.
 pub(crate) fn two_servers() -> ([TcpListener; 2], [Value; 2]) {
     let servers = [super::listener(), super::listener()];
     let targets = [target("s-1", &servers[0]), target("s-2", &servers[1])];
--- a/crates/sloewick/tests/support/discovery.rs
+++ b/crates/sloewick/tests/support/discovery.rs
@@ -1,24 +1,24 @@
-//! Discovery service emulator.
+//! Emulators of a discovery service that is down or misbehaves.
 
 use std::io::Write;
 use std::net::SocketAddr;
 
 use super::{close_listener, endpoint_list, listener, Peer};
 
-/// What a process meets at the address of discovery.
+/// Behavior of the emulator at the address of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum DiscoveryBehavior {
-    /// Nobody listens there.
+    /// Does not listen.
     Down,
-    /// Accepts requests and never responds.
+    /// Accepts connections and never responds.
     Silent,
-    /// Writes this text and closes.
+    /// Responds with this text and closes the connection.
     Raw(&'static str),
-    /// Responds 503 and closes.
+    /// Responds with status 503 and closes the connection.
     Unavailable,
     /// Resets each connection.
     Resets,
-    /// Serves a list without any server.
+    /// Responds with an endpoint list without endpoints.
     EmptyList,
 }
 
@@ -36,7 +36,7 @@
         DiscoveryBehavior::EmptyList,
     ];
 
-    /// Starts an emulator that behaves so as long as the test runs; its address.
+    /// Starts an emulator that runs until the test process ends, and returns its address.
     pub(crate) fn spawn(self) -> SocketAddr {
         let listener = listener();
         if self == DiscoveryBehavior::Down {
@@ -44,15 +44,15 @@
         }
         let address = listener.local_addr().unwrap();
         std::thread::spawn(move || {
-            let mut unanswered = Vec::new();
+            let mut open_connections = Vec::new();
             while let Ok((stream, _)) = listener.accept() {
-                unanswered.extend(self.respond(Peer::new(stream)));
+                open_connections.extend(self.respond(Peer::new(stream)));
             }
         });
         address
     }
 
-    /// Treats one connection, which is returned if it has to stay open.
+    /// Handles one connection; returns it if it has to stay open.
     fn respond(self, mut peer: Peer) -> Option<Peer> {
         match self {
             DiscoveryBehavior::Silent => return Some(peer),
--- a/crates/sloewick/tests/support/failing_calls.c
+++ b/crates/sloewick/tests/support/failing_calls.c
@@ -1,8 +1,9 @@
-/* Lets system calls fail or come back short, as Linux allows. For LD_PRELOAD.
- * FAILING_CALLS: pairs CALL=ERRNO, each with a comma behind it; errno 0 is a short transfer. Calls: socket, socketpair, accept4,
- * connect, epoll_create1, epoll_ctl, epoll_wait, recv, send, writev, fcntl (duplicates), open64 (the configuration file), write (to
- * regular files, of which half is written where more than one byte is), rename.
- * FAILING_TIMES: how many of these calls fail, the first ones; without it FAILING_PERCENT, the share that fails at random. */
+/* Library for LD_PRELOAD: system calls fail or transfer fewer bytes than requested, as Linux allows. Environment:
+ * FAILING_CALLS: pairs CALL=ERRNO, each followed by a comma; errno 0 is a short transfer. Calls: socket, socketpair, accept4,
+ * connect, epoll_create1, epoll_ctl, epoll_wait, recv, send, writev, fcntl (F_DUPFD_CLOEXEC only), open64 (the configuration
+ * file only), write (regular files only; writes half of the bytes, rounded down, before it fails), rename.
+ * FAILING_TIMES: number of these calls that fail, counted from the first one.
+ * FAILING_PERCENT: percentage of these calls that fail at random; used only if FAILING_TIMES is not set. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -21,7 +22,7 @@
 #include <time.h>
 #include <unistd.h>
 
-enum { SUCCEEDS = -1, SHORT = 0, SHORT_LENGTH = 7, MAX_PAIR = 32 };
+enum { SUCCEEDS = -1, SHORT = 0, MAX_SHORT_TRANSFER = 7, MAX_PAIR = 32 };
 
 static uint32_t next_random(void) {
     static __thread uint32_t state;
@@ -36,8 +37,8 @@
     return state;
 }
 
-/* Whether it is this call's turn to fail. */
-static int is_chosen(void) {
+/* Whether this one of the calls in FAILING_CALLS fails. */
+static int should_fail(void) {
     static atomic_int calls;
     const char *times = getenv("FAILING_TIMES");
     if (times) {
@@ -47,13 +48,13 @@
     return percent && next_random() % 100 < (uint32_t)atoi(percent);
 }
 
-/* SHORT, SUCCEEDS, or the error with which this call fails, which is in errno then. */
+/* Returns SUCCEEDS, SHORT for a short transfer, or the error with which this call fails; stores the error in errno. */
 static int failure(const char *call) {
     char pair[MAX_PAIR];
     snprintf(pair, sizeof pair, "%s=", call);
     const char *calls = getenv("FAILING_CALLS");
     const char *found = calls ? strstr(calls, pair) : NULL;
-    if (!found || !is_chosen()) {
+    if (!found || !should_fail()) {
         return SUCCEEDS;
     }
     int error = atoi(found + strlen(pair));
@@ -104,20 +105,20 @@
     return fails("epoll_wait") ? -1 : system_epoll_wait(poll, events, count, timeout);
 }
 
-static size_t shortened(size_t length) {
-    return length > SHORT_LENGTH ? SHORT_LENGTH : length;
+static size_t short_length(size_t length) {
+    return length > MAX_SHORT_TRANSFER ? MAX_SHORT_TRANSFER : length;
 }
 
 ssize_t recv(int fd, void *bytes, size_t length, int flags) {
     ssize_t (*system_recv)(int, void *, size_t, int) = SYSTEM_CALL("recv");
     int error = failure("recv");
-    return error > 0 ? -1 : system_recv(fd, bytes, error == SHORT ? shortened(length) : length, flags);
+    return error > 0 ? -1 : system_recv(fd, bytes, error == SHORT ? short_length(length) : length, flags);
 }
 
 ssize_t send(int fd, const void *bytes, size_t length, int flags) {
     ssize_t (*system_send)(int, const void *, size_t, int) = SYSTEM_CALL("send");
     int error = failure("send");
-    return error > 0 ? -1 : system_send(fd, bytes, error == SHORT ? shortened(length) : length, flags);
+    return error > 0 ? -1 : system_send(fd, bytes, error == SHORT ? short_length(length) : length, flags);
 }
 
 ssize_t writev(int fd, const struct iovec *chunks, int count) {
@@ -125,13 +126,14 @@
     int error = failure("writev");
     if (error == SHORT && count > 0) {
         struct iovec first = chunks[0];
-        first.iov_len = shortened(first.iov_len);
+        first.iov_len = short_length(first.iov_len);
         return system_writev(fd, &first, 1);
     }
     return error > 0 ? -1 : system_writev(fd, chunks, count);
 }
 
-static int duplicate_or_control(const char *name, int fd, int command, void *argument) {
+/* fcntl and fcntl64: only duplicating a descriptor can fail. */
+static int fcntl_or_fail(const char *name, int fd, int command, void *argument) {
     int (*system_fcntl)(int, int, ...) = SYSTEM_CALL(name);
     return command == F_DUPFD_CLOEXEC && fails("fcntl") ? -1 : system_fcntl(fd, command, argument);
 }
@@ -141,7 +143,7 @@
     va_start(arguments, command);
     void *argument = va_arg(arguments, void *);
     va_end(arguments);
-    return duplicate_or_control("fcntl", fd, command, argument);
+    return fcntl_or_fail("fcntl", fd, command, argument);
 }
 
 int fcntl64(int fd, int command, ...) {
@@ -149,7 +151,7 @@
     va_start(arguments, command);
     void *argument = va_arg(arguments, void *);
     va_end(arguments);
-    return duplicate_or_control("fcntl64", fd, command, argument);
+    return fcntl_or_fail("fcntl64", fd, command, argument);
 }
 
 int open64(const char *path, int flags, ...) {
@@ -169,7 +171,7 @@
     int is_file = fstat(fd, &file) == 0 && S_ISREG(file.st_mode);
     if (is_file && fails("write")) {
         int error = errno;
-        /* Half of it is there, as where a disk runs full. */
+        /* Half of the bytes are written, as when a disk runs full. */
         system_write(fd, bytes, length / 2);
         errno = error;
         return -1;
--- a/crates/sloewick/tests/support/mod.rs
+++ b/crates/sloewick/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! Set-up shared by the tests that run the built node on loopback between scripted peers.
+//! Helpers of the tests that run the built node on loopback between scripted peers.
 //!
 //! Every wait ends when its condition holds, or fails the test after [`WAIT_LIMIT`].
-// Each test program uses a part of it.
+// Each test program uses only some of the helpers.
 #![allow(dead_code, unused_imports)]
 
 mod admin;
@@ -32,17 +32,18 @@
 pub(crate) use trace::*;
 pub(crate) use traffic::*;
 
-/// Longest wait for anything that has to happen.
+/// Longest time that a test waits for a condition.
 pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
-/// Reply to a request that cannot have run.
+/// Response to a request that was rejected and cannot have run.
 pub(crate) const BUSY: &str = "-BUSY";
-/// Reply to a request that may have run.
+/// Response to a request that failed and may have run.
 pub(crate) const FAILED: &str = "-ERR failed";
 
+/// Number of loopback addresses handed out by this process.
 static ADDRESSES_USED: AtomicU32 = AtomicU32::new(0);
 
-/// An IP address of this test's own, so that tests that run in parallel never meet.
+/// An IP address of its own for each listener, so that tests running in parallel do not share addresses.
 fn unique_loopback_ip() -> IpAddr {
     let number = ADDRESSES_USED.fetch_add(1, Ordering::Relaxed);
     let pid = std::process::id();
@@ -55,32 +56,36 @@
     .into()
 }
 
+/// A listener on a free port of a new loopback address.
 pub(crate) fn listener() -> TcpListener {
     TcpListener::bind((unique_loopback_ip(), 0)).unwrap()
 }
 
-/// Closes a listener for good and returns its address, which is free then. A process that another test is just
-/// starting holds a copy of the descriptor until it executes its program.
+/// Closes a listener, waits until its address refuses connections and returns the address. The wait is necessary since
+/// a process that another test is starting holds a copy of the descriptor until it executes its program.
 pub(crate) fn close_listener(listener: TcpListener) -> SocketAddr {
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let begun = Instant::now();
+    let started = Instant::now();
     while TcpStream::connect(address).is_ok() {
-        assert!(begun.elapsed() < WAIT_LIMIT, "still taken");
+        assert!(
+            started.elapsed() < WAIT_LIMIT,
+            "{address} still accepts connections"
+        );
     }
     address
 }
 
-/// An address at which nobody listens.
+/// An address without a listener.
 pub(crate) fn free_address() -> SocketAddr {
     close_listener(listener())
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; `what` describes it if it does not.
 pub(crate) fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(begun.elapsed() < WAIT_LIMIT, "{what}");
+        assert!(started.elapsed() < WAIT_LIMIT, "waited too long: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/sloewick/tests/support/overload_schedules.rs
+++ b/crates/sloewick/tests/support/overload_schedules.rs
@@ -1,34 +1,41 @@
-//! An overload of the origin with other faults during it: schedules, and how far a fleet has recovered from one.
+//! Schedules of an origin overload with other faults during it, and measures of the recovery from it.
 
 use sloewick_testbed::report::{Report, Span};
 
-/// The fraction of the requests first sent in these seconds that was served in time.
+/// Fraction of the requests first sent in this span that were served within the latency objective of their class.
 pub(crate) fn in_time(span: &Span) -> f64 {
     span.in_time.iter().sum::<u64>() as f64 / span.asked.iter().sum::<u64>().max(1) as f64
 }
 
+/// Head of a scenario: the size and load of a fleet.
 pub(crate) const FLEET: &str = "name = \"fleet\"\nnodes = 4\nboxes = 10\nrate = 160\n";
-/// Six in ten cached copies are void, and the origin is seven times slower, for four seconds.
+/// Invalidates six in ten cached copies and makes the origin seven times slower for four seconds.
 const OVERLOAD: &str = "\n[[fault]]\nkind = \"void\"\nat = 3\npart = 0.6\n\
                    \n[[fault]]\nkind = \"slow-origin\"\nat = 3\ntimes = 7\nfor = 4\n";
 
+/// A fault of a scenario that begins at this second.
 fn fault(kind: &str, at: f64, fields: &str) -> String {
     format!("\n[[fault]]\nkind = \"{kind}\"\nat = {at}\n{fields}\n")
 }
 
-/// The last seconds of a schedule that are compared; the very last one may hold requests without an answer.
-const LAST_SECONDS: i64 = 3;
-/// What is served after an overload, at least, as a fraction of what was served before it.
+/// Number of seconds compared at the end of a schedule. The very last second is not compared, since some of its requests
+/// may have no response yet.
+const COMPARED_SECONDS: i64 = 3;
+/// Minimum service after an overload, as a fraction of the service before it.
 pub(crate) const RECOVERED_FRACTION: f64 = 0.5;
 
 /// An overload of the origin with other faults during it.
 pub(crate) struct Schedule {
+    /// Head of the scenario, with the size and load of the fleet.
     fleet: &'static str,
+    /// Duration of the scenario.
     pub(crate) seconds: u32,
+    /// Faults besides the overload, as TOML.
     faults: Vec<String>,
 }
 
 impl Schedule {
+    /// The scenario as TOML, with this duration.
     pub(crate) fn text(&self, seconds: u32) -> String {
         format!(
             "{}seconds = {seconds}\n{OVERLOAD}{}",
@@ -38,11 +45,12 @@
     }
 }
 
+/// Seconds 1 and 2, which are before the overload.
 pub(crate) fn before(report: &Report) -> Span {
     report.between(1, 3)
 }
 
-/// What is served from this second on to the last but one, as a fraction of what was served before the overload.
+/// Service from second `from` up to the last second but one, as a fraction of the service before the overload.
 pub(crate) fn recovery(report: &Report, from: i64, seconds: u32) -> f64 {
     in_time(&report.between(from, i64::from(seconds) - 1)) / in_time(&before(report))
 }
@@ -110,7 +118,7 @@
     }
 }
 
-/// The first of the last seconds of a schedule.
+/// The first of the seconds compared at the end of a schedule.
 pub(crate) fn last_seconds(seconds: u32) -> i64 {
-    i64::from(seconds) - 1 - LAST_SECONDS
+    i64::from(seconds) - 1 - COMPARED_SECONDS
 }
--- a/crates/sloewick/tests/support/peer.rs
+++ b/crates/sloewick/tests/support/peer.rs
@@ -1,4 +1,4 @@
-//! The other end of a connection with the node: a client, a cache server or discovery.
+//! Connections between the test and the node.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -8,11 +8,12 @@
 
 use super::{get_command, WAIT_LIMIT};
 
-/// The other end of a connection with the node: a client, a cache server or discovery.
+/// The test's end of a connection with the node, as a client, a cache server or discovery.
 pub(crate) struct Peer {
     pub(crate) stream: TcpStream,
+    /// Bytes received and not read yet.
     buffer: Vec<u8>,
-    /// The connection was reset, which may have destroyed what was sent before.
+    /// Whether a read found the connection reset. Bytes that the node sent before the reset may be lost.
     pub(crate) was_reset: bool,
 }
 
@@ -32,12 +33,12 @@
         self.stream.write_all(bytes.as_ref()).unwrap();
     }
 
-    /// Requests key `k1` in class `once`.
+    /// Sends a read of key `k1` in class `once` with a deadline of 20 s.
     pub(crate) fn send_get(&mut self, id: &str) {
         self.send(get_command("once", id, 20_000));
     }
 
-    /// Reads up to and including `end`.
+    /// Reads up to `end`, and returns all including `end`.
     pub(crate) fn read_until(&mut self, end: &[u8]) -> Vec<u8> {
         loop {
             if let Some(at) = self.buffer.windows(end.len()).position(|w| w == end) {
@@ -58,6 +59,7 @@
         self.buffer.drain(..n).collect()
     }
 
+    /// Receives into the buffer; returns false at the end of the stream or after a reset.
     fn fill(&mut self) -> bool {
         let mut bytes = [0; 65536];
         match self.stream.read(&mut bytes) {
@@ -69,21 +71,21 @@
                 self.was_reset = true;
                 false
             }
-            // A read with a timeout is not restarted by the system.
+            // The kernel does not restart an interrupted read of a socket with a timeout.
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => self.fill(),
-            Err(e) => panic!("nothing came: {e}"),
+            Err(e) => panic!("no data from the node: {e}"),
         }
     }
 
     /// Whether bytes, or the end of the stream, can be read without waiting.
     pub(crate) fn has_data(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
-        let waits = self.stream.peek(&mut [0]);
+        let peeked = self.stream.peek(&mut [0]);
         self.stream.set_nonblocking(false).unwrap();
-        !self.buffer.is_empty() || waits.is_ok()
+        !self.buffer.is_empty() || peeked.is_ok()
     }
 
-    /// What is buffered or, if nothing is, what the next read returns.
+    /// Returns the buffered bytes or, if there are none, the bytes of the next read.
     pub(crate) fn read_available(&mut self) -> Vec<u8> {
         assert!(
             !self.buffer.is_empty() || self.fill(),
@@ -96,18 +98,18 @@
         String::from_utf8_lossy(&self.buffer).into_owned()
     }
 
-    /// A line without its CRLF.
+    /// Reads a line and returns it without its CRLF.
     pub(crate) fn read_line(&mut self) -> String {
         let line = self.read_until(b"\r\n");
         String::from_utf8(line[..line.len() - 2].to_vec()).unwrap()
     }
 
-    /// A bulk string.
+    /// Reads a RESP2 bulk string.
     pub(crate) fn read_bulk(&mut self) -> Vec<u8> {
-        let head = self.read_line();
-        let len = head
+        let header = self.read_line();
+        let len = header
             .strip_prefix('$')
-            .unwrap_or_else(|| panic!("{head:?}"))
+            .unwrap_or_else(|| panic!("{header:?}"))
             .parse()
             .unwrap();
         let bytes = self.read_exactly(len);
@@ -115,12 +117,12 @@
         bytes
     }
 
-    /// A RESP2 command's words.
+    /// Reads a RESP2 command and returns its words.
     pub(crate) fn read_command(&mut self) -> Vec<String> {
-        let head = self.read_line();
-        let count = head
+        let header = self.read_line();
+        let count = header
             .strip_prefix('*')
-            .unwrap_or_else(|| panic!("{head:?}"))
+            .unwrap_or_else(|| panic!("{header:?}"))
             .parse()
             .unwrap();
         (0..count)
@@ -128,12 +130,13 @@
             .collect()
     }
 
-    /// Reads until the other side has ended its sending.
+    /// Reads until the node closes its writing side or resets the connection; returns all that is buffered as text.
     pub(crate) fn read_to_end(&mut self) -> String {
         while self.fill() {}
         self.buffered_text()
     }
 
+    /// Sends an HTTP response with this JSON body.
     pub(crate) fn send_http_json(&mut self, body: &Value) {
         let body = body.to_string();
         self.send(format!(
@@ -142,13 +145,13 @@
         ));
     }
 
-    /// Closes the connection at once, even where a process that another test is just starting holds a copy of the
-    /// descriptor: the node must not take it for a reusable one.
+    /// Shuts the connection down in both directions. Closing the descriptor would not suffice while a process that another
+    /// test is starting holds a copy of it: the node could then reuse the connection.
     pub(crate) fn close(self) {
         let _ = self.stream.shutdown(std::net::Shutdown::Both);
     }
 
-    /// Resets the connection, as the death of a process does.
+    /// Resets the connection, as happens when a process is killed.
     pub(crate) fn reset(self) {
         socket2::SockRef::from(&self.stream)
             .set_linger(Some(Duration::ZERO))
--- a/crates/sloewick/tests/support/preload.rs
+++ b/crates/sloewick/tests/support/preload.rs
@@ -1,11 +1,11 @@
-//! Libraries that a process preloads to change what its system calls return.
+//! Libraries for `LD_PRELOAD` that change the results of a process's system calls.
 
 use std::path::PathBuf;
 use std::process::Command;
 
-/// Builds a library from `support/NAME.c`, for `LD_PRELOAD`.
+/// Compiles `support/NAME.c` to a library for `LD_PRELOAD` and returns its path.
 pub(crate) fn preload_library(name: &str) -> PathBuf {
-    // Tests of one process build side by side; each writes a file of its own.
+    // Tests run in parallel threads of one process: each thread writes a file of its own.
     let thread = format!("{:?}", std::thread::current().id());
     let thread: String = thread.chars().filter(char::is_ascii_digit).collect();
     let file = format!("{name}-{}-{thread}.so", std::process::id());
@@ -20,7 +20,7 @@
     library
 }
 
-/// Lets the first calls of this kind fail in the process.
+/// Makes the first `times` calls of this kind fail with `errno` in the process.
 pub(crate) fn let_calls_fail(command: &mut Command, call: &str, errno: i32, times: usize) {
     command
         .env("LD_PRELOAD", preload_library("failing_calls"))
@@ -28,7 +28,7 @@
         .env("FAILING_TIMES", times.to_string());
 }
 
-/// Lets a share of the calls of this kind fail in the process.
+/// Makes this percentage of the calls of this kind fail with `errno` in the process, chosen at random.
 pub(crate) fn let_calls_fail_at_random(
     command: &mut Command,
     call: &str,
--- a/crates/sloewick/tests/support/process.rs
+++ b/crates/sloewick/tests/support/process.rs
@@ -1,4 +1,4 @@
-//! The program as a process of its own.
+//! Node processes: the commands that start them, their configuration, and control of running ones.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,14 +10,14 @@
 
 use super::{accept, endpoint_list, free_address, listener, settings, target, Peer, WAIT_LIMIT};
 
-/// The program as a node.
+/// The command that runs the built program as a node.
 pub(crate) fn program() -> Command {
     let mut program = Command::new(env!("CARGO_BIN_EXE_sloewick"));
     program.arg("run");
     program
 }
 
-/// The program as a node with no more descriptors than this.
+/// The command that runs the program as a node with this limit on open descriptors.
 pub(crate) fn program_with_descriptor_limit(descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
     let script = format!("ulimit -n {descriptors} && exec \"$0\" run");
@@ -25,7 +25,8 @@
     shell
 }
 
-/// The program as a node with the clients' socket as descriptor 3, as the platform starts it at upgrades.
+/// The command that runs the program as a node that inherits the clients' listener as descriptor 3, as the platform does
+/// for an upgrade.
 pub(crate) fn program_inheriting(socket: &TcpListener) -> Command {
     let mut shell = Command::new("/bin/sh");
     let program = env!("CARGO_BIN_EXE_sloewick");
@@ -40,8 +41,11 @@
 /// A node process, killed when dropped.
 pub(crate) struct Node {
     child: Child,
+    /// Address at which the node listens for clients.
     pub(crate) address: SocketAddr,
+    /// Listener at the configured address of discovery.
     pub(crate) discovery: TcpListener,
+    /// The configuration file, removed when the node is dropped.
     file: PathBuf,
 }
 
@@ -51,11 +55,12 @@
     settings: Value,
     targets: Vec<Value>,
     admin: Option<SocketAddr>,
+    /// JSON pointers into the configuration, and the values to set there.
     edits: Vec<(&'static str, Value)>,
 }
 
 impl NodeBuilder {
-    /// Which command to start, in place of [`program`].
+    /// Starts the node with this command instead of [`program`].
     pub(crate) fn command(mut self, command: Command) -> NodeBuilder {
         self.command = command;
         self
@@ -66,13 +71,13 @@
         self
     }
 
-    /// The endpoints that the node knows when it starts.
+    /// Sets the endpoint list in the node's configuration.
     pub(crate) fn targets(mut self, targets: &[Value]) -> NodeBuilder {
         self.targets = targets.to_vec();
         self
     }
 
-    /// Listens for clients at this address rather than at a free one.
+    /// Listens for clients at this address instead of a free one.
     pub(crate) fn listen(self, address: SocketAddr) -> NodeBuilder {
         self.set("/listen", address.to_string())
     }
@@ -83,13 +88,13 @@
         self
     }
 
-    /// Sets a field that the configuration has, named as a JSON pointer.
+    /// Sets an existing field of the configuration, given as a JSON pointer.
     pub(crate) fn set(mut self, pointer: &'static str, value: impl Into<Value>) -> NodeBuilder {
         self.edits.push((pointer, value.into()));
         self
     }
 
-    /// Starts the node and waits until it listens.
+    /// Starts the node and waits until it accepts clients.
     pub(crate) fn start(mut self) -> Node {
         let discovery = listener();
         let mut config = json!({
@@ -116,9 +121,9 @@
             discovery,
             file,
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         while TcpStream::connect(address).is_err() {
-            assert!(begun.elapsed() < WAIT_LIMIT, "the node does not listen");
+            assert!(started.elapsed() < WAIT_LIMIT, "the node does not listen");
             std::thread::sleep(Duration::from_millis(5));
         }
         node
@@ -126,7 +131,7 @@
 }
 
 impl Node {
-    /// A node that knows no endpoint and has [`settings`].
+    /// A builder of a node with an empty endpoint list and the default [`settings`].
     pub(crate) fn builder() -> NodeBuilder {
         NodeBuilder {
             command: program(),
@@ -137,26 +142,28 @@
         }
     }
 
-    /// A builder of a node that knows one server.
+    /// A builder of a node in front of one cache server.
     pub(crate) fn before(server: &TcpListener) -> NodeBuilder {
         Node::builder().targets(&[target("s-1", server)])
     }
 
-    /// A running node that knows one server.
+    /// Starts a node in front of one cache server.
     pub(crate) fn with_server(server: &TcpListener) -> Node {
         Node::before(server).start()
     }
 
-    /// A running node that knows one server, and the address of its admin interface.
+    /// Starts a node in front of one cache server; returns it with the address of its admin interface.
     pub(crate) fn with_admin(server: &TcpListener) -> (Node, SocketAddr) {
         let admin = free_address();
         (Node::before(server).admin(admin).start(), admin)
     }
 
+    /// Connects a client to the node.
     pub(crate) fn client(&self) -> Peer {
         Peer::new(TcpStream::connect(self.address).unwrap())
     }
 
+    /// Sends the process this signal, named as for `kill`.
     pub(crate) fn signal(&self, name: &str) {
         let kill = Command::new("kill")
             .args([&format!("-{name}"), &self.child.id().to_string()])
@@ -164,18 +171,19 @@
         assert!(kill.unwrap().success());
     }
 
-    /// Pauses the process and returns once it is stopped: all that happens from now on is met by it at once.
+    /// Stops the process with SIGSTOP and waits until it has stopped. When it continues, it finds all events that happened
+    /// meanwhile at once.
     pub(crate) fn pause(&self) {
         self.signal("STOP");
-        let begun = Instant::now();
+        let started = Instant::now();
         let state = || std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).unwrap();
         while !state().rsplit_once(')').unwrap().1.starts_with(" T") {
-            assert!(begun.elapsed() < WAIT_LIMIT, "the process is not stopped");
+            assert!(started.elapsed() < WAIT_LIMIT, "the process is not stopped");
             std::thread::sleep(Duration::from_millis(1));
         }
     }
 
-    /// Replaces the configuration file atomically and signals the node to reload it.
+    /// Replaces the configuration file atomically and signals the node (SIGHUP) to reload it.
     pub(crate) fn reload(&self, text: &str) {
         self.replace_config(text);
         self.signal("HUP");
@@ -188,12 +196,12 @@
         std::fs::rename(&next, &self.file).unwrap();
     }
 
-    /// The text of the node's configuration.
+    /// The text of the node's configuration file.
     pub(crate) fn config(&self) -> String {
         std::fs::read_to_string(&self.file).unwrap()
     }
 
-    /// Shuts the node down; all that it has written on standard error, which was piped.
+    /// Shuts the node down and returns all that it has written to standard error, which must be piped.
     pub(crate) fn shut_down_and_read_stderr(&mut self) -> String {
         self.signal("TERM");
         assert!(self.wait().success());
@@ -207,24 +215,24 @@
         text
     }
 
-    /// The node's standard error, which was piped.
+    /// Takes the node's standard error, which must be piped.
     pub(crate) fn stderr(&mut self) -> std::process::ChildStderr {
         self.child.stderr.take().unwrap()
     }
 
-    /// Waits for the process to exit by itself.
+    /// Waits until the process exits by itself.
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        let begun = Instant::now();
+        let started = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
-            assert!(begun.elapsed() < WAIT_LIMIT, "the node does not end");
+            assert!(started.elapsed() < WAIT_LIMIT, "the node does not exit");
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// The process's number.
+    /// The process id.
     pub(crate) fn id(&self) -> u32 {
         self.child.id()
     }
@@ -241,11 +249,11 @@
             / 1024
     }
 
-    /// The next request to discovery: its path, and the connection to respond on.
+    /// Accepts the node's next request to discovery; returns its path and the connection to respond on.
     pub(crate) fn accept_discovery(&self) -> (String, Peer) {
         let mut peer = accept(&self.discovery);
-        let head = peer.read_until(b"\r\n\r\n");
-        let text = String::from_utf8(head).unwrap();
+        let header = peer.read_until(b"\r\n\r\n");
+        let text = String::from_utf8(header).unwrap();
         (text.split(' ').nth(1).unwrap().to_string(), peer)
     }
 }
--- a/crates/sloewick/tests/support/scripted_discovery.rs
+++ b/crates/sloewick/tests/support/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery whose requests meet scripted faults, one after another, and are answered from then on.
+//! A discovery service that responds to successive requests with scripted faults, and correctly from then on.
 
 use std::collections::VecDeque;
 use std::io::Write;
@@ -9,31 +9,32 @@
 
 use super::{endpoint_list, listener, try_accept, Peer};
 
-/// Pause between two bytes of an answer that drips.
+/// Time between two bytes of a response that is sent byte by byte.
 const DRIP_INTERVAL: Duration = Duration::from_millis(150);
 
-/// On loopback a connection that comes up at all does so within this.
-const CONNECTION_COMES_UP_WITHIN: Duration = Duration::from_millis(100);
-/// Connections that may wait at the listener.
+/// A connection on loopback that is not established within this time will not be while the listen queue stays full.
+const MAX_CONNECT_TIME: Duration = Duration::from_millis(100);
+/// Length of the listen queue, in connections.
 const BACKLOG: i32 = 128;
 
-/// What a request to discovery meets.
+/// A fault in the handling of a request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryFault {
+    /// The connection is reset.
     Reset,
-    /// Rejected with 503.
+    /// The response has status 503.
     Unavailable,
-    /// An answer that ends before its stated length.
+    /// The connection is closed before the response has its stated length.
     CutAnswer,
-    /// No HTTP.
+    /// The response is not HTTP.
     UnreadableAnswer,
-    /// A whole list with a revision below the known one.
+    /// The response is a complete list without endpoints whose revision is 30 below the current one.
     OlderList,
-    /// The connection stays open, and nothing comes.
+    /// The connection stays open without a response.
     Silent,
-    /// Half an answer, and then nothing.
+    /// The connection stays open after half of the response.
     HalfAnswer,
-    /// An answer that comes byte by byte.
+    /// The response is sent byte by byte, one every [`DRIP_INTERVAL`].
     DrippedAnswer,
 }
 
@@ -50,34 +51,37 @@
     ];
 }
 
-/// A watch that waits for a change.
+/// An open watch: a request that discovery holds until the list changes or its wait is over.
 struct Watch {
     peer: Peer,
-    /// The wait that the node has asked for.
+    /// The wait requested by the node.
     wait: Duration,
     opened: Instant,
 }
 
-/// An answer that comes byte by byte.
-struct DrippedAnswer {
+/// A response that is being sent byte by byte.
+struct DrippedResponse {
     peer: Peer,
-    rest: VecDeque<u8>,
-    next: Instant,
+    remaining: VecDeque<u8>,
+    /// When the next byte is due.
+    next_byte: Instant,
 }
 
-/// Discovery as one node sees it; [`ScriptedDiscovery::step`] advances it.
+/// The discovery service of one node; the test calls [`ScriptedDiscovery::step`] repeatedly to drive it.
 pub(crate) struct ScriptedDiscovery {
     listener: TcpListener,
+    /// Current revision of the endpoint list.
     rev: i64,
     targets: Vec<Value>,
+    /// Faults of the next requests, in order.
     faults: VecDeque<DiscoveryFault>,
     watches: Vec<Watch>,
-    /// Connections that stay open without an answer.
-    silent: Vec<Peer>,
-    dripped: Vec<DrippedAnswer>,
-    /// Connections that fill the queue of the listener, so that no other one comes up.
+    /// Connections that stay open without a complete response.
+    unanswered: Vec<Peer>,
+    dripped: Vec<DrippedResponse>,
+    /// Connections that fill the listen queue, so that no further one is established.
     fillers: Vec<TcpStream>,
-    /// When each request came, and its path.
+    /// Arrival time and path of each request.
     pub(crate) requests: Vec<(Instant, String)>,
 }
 
@@ -89,23 +93,23 @@
             targets: targets.to_vec(),
             faults: VecDeque::new(),
             watches: Vec::new(),
-            silent: Vec::new(),
+            unanswered: Vec::new(),
             dripped: Vec::new(),
             fillers: Vec::new(),
             requests: Vec::new(),
         }
     }
 
-    /// From now on no connection comes up: the system drops the first packet of each.
+    /// From now on no connection is established: the listen queue is full, and the kernel drops each SYN.
     pub(crate) fn let_no_connection_up(&mut self) {
         socket2::SockRef::from(&self.listener).listen(0).unwrap();
         let address = self.address();
-        while let Ok(filler) = TcpStream::connect_timeout(&address, CONNECTION_COMES_UP_WITHIN) {
+        while let Ok(filler) = TcpStream::connect_timeout(&address, MAX_CONNECT_TIME) {
             self.fillers.push(filler);
         }
     }
 
-    /// Connections come up again.
+    /// Lets connections be established again.
     pub(crate) fn let_connections_up(&mut self) {
         for filler in self.fillers.drain(..) {
             drop(self.listener.accept().unwrap());
@@ -116,8 +120,8 @@
             .unwrap();
     }
 
-    /// Whether no connection comes up.
-    pub(crate) fn lets_no_connection_up(&self) -> bool {
+    /// Whether the listen queue is filled, so that no connection is established.
+    fn is_blocking_connections(&self) -> bool {
         !self.fillers.is_empty()
     }
 
@@ -125,45 +129,45 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// For how long a watch with at least this wait has been open.
+    /// How long a watch with at least this wait has been open, or None if there is none.
     pub(crate) fn watched_for(&self, wait: Duration) -> Option<Duration> {
-        let long = self.watches.iter().find(|watch| watch.wait >= wait);
-        long.map(|watch| watch.opened.elapsed())
+        let watch = self.watches.iter().find(|watch| watch.wait >= wait);
+        watch.map(|watch| watch.opened.elapsed())
     }
 
-    /// What is left of the wait of the open watch.
+    /// Time until the wait of the open watch is over; zero without a watch.
     pub(crate) fn rest_of_wait(&self) -> Duration {
-        let rest = |watch: &Watch| watch.wait.saturating_sub(watch.opened.elapsed());
-        self.watches.iter().map(rest).max().unwrap_or_default()
+        let remaining = |watch: &Watch| watch.wait.saturating_sub(watch.opened.elapsed());
+        self.watches.iter().map(remaining).max().unwrap_or_default()
     }
 
-    /// Forgets the connections of a process that has ended.
+    /// Drops the connections of a node process that has ended.
     pub(crate) fn forget_connections(&mut self) {
         self.watches.clear();
-        self.silent.clear();
+        self.unanswered.clear();
         self.dripped.clear();
     }
 
-    /// The list changes. The open watch and the requests behind it meet these faults in turn.
+    /// Changes the endpoint list. The open watch and the requests after it get these faults in order.
     pub(crate) fn change(&mut self, targets: &[Value], faults: &[DiscoveryFault]) {
         self.rev += 1;
         self.targets = targets.to_vec();
         self.faults = faults.iter().copied().collect();
         for watch in std::mem::take(&mut self.watches) {
-            self.answer(watch.peer);
+            self.respond(watch.peer);
         }
     }
 
-    /// Takes requests, and answers those whose time has come.
+    /// Accepts requests and sends all responses that are due.
     pub(crate) fn step(&mut self) {
-        self.end_waits();
-        self.drip();
-        if self.lets_no_connection_up() {
+        self.end_expired_watches();
+        self.send_dripped_bytes();
+        if self.is_blocking_connections() {
             return;
         }
         while let Some(mut peer) = try_accept(&self.listener) {
-            let head = String::from_utf8(peer.read_until(b"\r\n\r\n")).unwrap();
-            let path = head.split(' ').nth(1).unwrap().to_string();
+            let header = String::from_utf8(peer.read_until(b"\r\n\r\n")).unwrap();
+            let path = header.split(' ').nth(1).unwrap().to_string();
             self.requests.push((Instant::now(), path.clone()));
             match query_number(&path, "since=") {
                 Some(since) if since == self.rev && self.faults.is_empty() => {
@@ -174,33 +178,34 @@
                         opened: Instant::now(),
                     });
                 }
-                _ => self.answer(peer),
+                _ => self.respond(peer),
             }
         }
     }
 
-    fn end_waits(&mut self) {
-        let is_over = |watch: &Watch| watch.opened.elapsed() >= watch.wait;
-        while let Some(at) = self.watches.iter().position(is_over) {
+    /// Responds to watches whose wait is over, with an empty delta.
+    fn end_expired_watches(&mut self) {
+        let has_expired = |watch: &Watch| watch.opened.elapsed() >= watch.wait;
+        while let Some(at) = self.watches.iter().position(has_expired) {
             let mut watch = self.watches.swap_remove(at);
-            let nothing = endpoint_list(self.rev, false, &[]);
-            send_if_open(&mut watch.peer, http_answer(&nothing).as_bytes());
+            let empty_delta = endpoint_list(self.rev, false, &[]);
+            send_if_open(&mut watch.peer, http_response(&empty_delta).as_bytes());
         }
     }
 
-    fn drip(&mut self) {
-        for answer in &mut self.dripped {
-            if answer.next <= Instant::now() {
-                answer.next += DRIP_INTERVAL;
-                let byte = answer.rest.pop_front();
-                send_if_open(&mut answer.peer, byte.as_slice());
+    fn send_dripped_bytes(&mut self) {
+        for response in &mut self.dripped {
+            if response.next_byte <= Instant::now() {
+                response.next_byte += DRIP_INTERVAL;
+                let byte = response.remaining.pop_front();
+                send_if_open(&mut response.peer, byte.as_slice());
             }
         }
     }
 
-    /// Answers with the whole list, unless a fault is due.
-    fn answer(&mut self, mut peer: Peer) {
-        let list = http_answer(&endpoint_list(self.rev, true, &self.targets));
+    /// Responds with the complete list, or with the next scripted fault.
+    fn respond(&mut self, mut peer: Peer) {
+        let list = http_response(&endpoint_list(self.rev, true, &self.targets));
         let (half, _) = list.split_at(list.len() / 2);
         let Some(fault) = self.faults.pop_front() else {
             return send_if_open(&mut peer, list.as_bytes());
@@ -215,18 +220,18 @@
             DiscoveryFault::UnreadableAnswer => send_if_open(&mut peer, b"\x01\x02noise"),
             DiscoveryFault::OlderList => {
                 let older = endpoint_list(self.rev - 30, true, &[]);
-                send_if_open(&mut peer, http_answer(&older).as_bytes());
+                send_if_open(&mut peer, http_response(&older).as_bytes());
             }
-            DiscoveryFault::Silent => return self.silent.push(peer),
+            DiscoveryFault::Silent => return self.unanswered.push(peer),
             DiscoveryFault::HalfAnswer => {
                 send_if_open(&mut peer, half.as_bytes());
-                return self.silent.push(peer);
+                return self.unanswered.push(peer);
             }
             DiscoveryFault::DrippedAnswer => {
-                return self.dripped.push(DrippedAnswer {
+                return self.dripped.push(DrippedResponse {
                     peer,
-                    rest: list.bytes().collect(),
-                    next: Instant::now(),
+                    remaining: list.bytes().collect(),
+                    next_byte: Instant::now(),
                 });
             }
         }
@@ -234,17 +239,18 @@
     }
 }
 
-fn http_answer(list: &Value) -> String {
+fn http_response(list: &Value) -> String {
     let body = list.to_string();
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// Sends to a node that may have closed the connection.
+/// Sends to the node, which may have closed the connection.
 fn send_if_open(peer: &mut Peer, bytes: &[u8]) {
     let _ = peer.stream.write_all(bytes);
 }
 
+/// The number after `name` (which ends with `=`) in the query of a path.
 fn query_number(path: &str, name: &str) -> Option<i64> {
     let (_, value) = path.split_once(name)?;
     let digits = value.split('&').next()?;
--- a/crates/sloewick/tests/support/short_reads.c
+++ b/crates/sloewick/tests/support/short_reads.c
@@ -1,4 +1,4 @@
-/* Lets each read of a socket be interrupted once, and return 7 bytes at most, as Linux allows. For LD_PRELOAD. */
+/* Library for LD_PRELOAD: every second recv of a thread fails with EINTR, and the others return at most 7 bytes. Linux allows both. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
--- a/crates/sloewick/tests/support/stepped_clock.c
+++ b/crates/sloewick/tests/support/stepped_clock.c
@@ -1,4 +1,4 @@
-/* Adds WALL_CLOCK_STEP seconds to the wall clock of a process. For LD_PRELOAD. */
+/* Library for LD_PRELOAD: adds WALL_CLOCK_STEP (seconds) to the wall clock of a process. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <stdlib.h>
--- a/crates/sloewick/tests/support/traffic.rs
+++ b/crates/sloewick/tests/support/traffic.rs
@@ -1,17 +1,19 @@
-//! A client that keeps on asking, each time for another key.
+//! A client that sends requests at a steady rate.
 
 use std::time::{Duration, Instant};
 
 use super::{command, Node, Peer};
 
-/// Pause between two requests of the client, unless a test wants another one.
+/// Default time between two requests of the client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Sends requests to the node, one at a time, each for another key.
+/// A client of the node that sends one request at a time, each for a new key.
 pub(crate) struct Traffic {
     client: Peer,
+    /// Number of requests sent.
     sent: usize,
-    last: Instant,
+    /// When the last request was sent.
+    last_sent: Instant,
     interval: Duration,
 }
 
@@ -20,26 +22,26 @@
         Traffic {
             client: node.client(),
             sent: 0,
-            last: Instant::now(),
+            last_sent: Instant::now(),
             interval: REQUEST_INTERVAL,
         }
     }
 
-    /// The same with another pause between two requests.
+    /// The same client with this time between two requests.
     pub(crate) fn every(self, interval: Duration) -> Traffic {
         Traffic { interval, ..self }
     }
 
-    /// Sends the next request, if its time has come and the one before is answered.
+    /// Sends the next request if the interval is over and the previous response has arrived.
     pub(crate) fn step(&mut self) {
-        if self.last.elapsed() < self.interval || self.sent > 0 && !self.client.has_data() {
+        if self.last_sent.elapsed() < self.interval || self.sent > 0 && !self.client.has_data() {
             return;
         }
         if self.sent > 0 {
             self.client.read_available();
         }
         self.sent += 1;
-        self.last = Instant::now();
+        self.last_sent = Instant::now();
         let (key, id) = (format!("key-{}", self.sent), format!("r{}", self.sent));
         let fields = b"c=read,t=acme,d=20000";
         self.client
