--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -40,32 +40,32 @@
 }
 
 /// A net that may know when bytes left their sender.
-pub trait Sight: Transport {
+pub trait SendTimes: Transport {
     /// Unix time at which the next bytes of a connection were sent; none where nobody can tell.
-    fn sent(&self, _stream: &Self::Stream) -> Option<Micros> {
+    fn send_time(&self, _stream: &Self::Stream) -> Option<Micros> {
         None
     }
 }
 
-impl Sight for sloewick_node::mio_transport::MioTransport {}
+impl SendTimes for sloewick_node::mio_transport::MioTransport {}
 
 /// What came on a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Came {
+pub enum ConnectionEvent {
     /// Accepted on the listener of this number.
-    Opened(usize),
+    Accepted(usize),
     /// A connection that was asked for is up.
-    Up,
+    Connected,
     /// There is more in `buf`.
-    Bytes,
+    Received,
     /// The peer has ended its sending; what it sent before has been told.
-    Ended,
+    ReadClosed,
     /// It could not be opened, or it broke. It is gone.
-    Broke { refused: bool },
+    Failed { refused: bool },
 }
 
 /// A connection.
-pub struct Line<S> {
+pub struct Connection<S> {
     stream: S,
     pub serial: u64,
     pub buf: BytesMut,
@@ -92,10 +92,10 @@
 }
 
 /// Connections, listeners and timers of one stand-in.
-pub struct Port<N: Sight, D: Ord> {
+pub struct Port<N: SendTimes, D: Ord> {
     pub net: N,
     listeners: Vec<Option<N::Listener>>,
-    lines: Slab<Line<N::Stream>>,
+    connections: Slab<Connection<N::Stream>>,
     serial: u64,
     ready: Vec<ReadyEvent>,
     scratch: Vec<u8>,
@@ -105,15 +105,15 @@
     closes: Vec<(usize, u64)>,
     cut: Cut,
     /// News of cut connections and listeners, told when the way is whole again; one for each at the most.
-    unheard: BTreeMap<Token, ReadyEvent>,
+    deferred_events: BTreeMap<Token, ReadyEvent>,
 }
 
-impl<N: Sight, D: Ord> Port<N, D> {
+impl<N: SendTimes, D: Ord> Port<N, D> {
     pub fn new(net: N) -> Port<N, D> {
         Port {
             net,
             listeners: Vec::new(),
-            lines: Slab::new(),
+            connections: Slab::new(),
             serial: 0,
             ready: Vec::new(),
             scratch: vec![0; READ_MOST],
@@ -121,7 +121,7 @@
             set: 0,
             closes: Vec::new(),
             cut: Cut::default(),
-            unheard: BTreeMap::new(),
+            deferred_events: BTreeMap::new(),
         }
     }
 
@@ -156,8 +156,12 @@
     pub fn set_cut(&mut self, cut: Cut) {
         self.cut = cut;
         if !cut.outwards {
-            for (_, line) in self.lines.iter_mut().filter(|(_, line)| line.accepted) {
-                let _ = line.out.flush(&mut line.stream);
+            for (_, connection) in self
+                .connections
+                .iter_mut()
+                .filter(|(_, connection)| connection.accepted)
+            {
+                let _ = connection.out.flush(&mut connection.stream);
             }
         }
     }
@@ -167,8 +171,12 @@
     }
 
     /// Whether news of this token is held back.
-    fn holds_back(&self, token: Token) -> bool {
-        let accepted = |conn| self.lines.get(conn).is_none_or(|line| line.accepted);
+    fn is_deferred(&self, token: Token) -> bool {
+        let accepted = |conn| {
+            self.connections
+                .get(conn)
+                .is_none_or(|connection| connection.accepted)
+        };
         self.cut.inwards && (4..FIRST_CONN).contains(&token)
             || self.cut.inwards && token >= FIRST_CONN && accepted(token - FIRST_CONN)
     }
@@ -178,15 +186,17 @@
     /// # Errors
     /// No descriptors, or refused at once.
     pub fn connect(&mut self, to: SocketAddr) -> io::Result<usize> {
-        let stream = self.net.connect(to, FIRST_CONN + self.lines.vacant_key())?;
-        Ok(self.hold(stream, true, false))
+        let stream = self
+            .net
+            .connect(to, FIRST_CONN + self.connections.vacant_key())?;
+        Ok(self.insert(stream, true, false))
     }
 
-    fn hold(&mut self, stream: N::Stream, connecting: bool, accepted: bool) -> usize {
+    fn insert(&mut self, stream: N::Stream, connecting: bool, accepted: bool) -> usize {
         self.serial += 1;
         let (serial, since) = (self.serial, self.unix());
         let (buf, out) = (BytesMut::new(), WriteQueue::default());
-        self.lines.insert(Line {
+        self.connections.insert(Connection {
             stream,
             serial,
             buf,
@@ -199,59 +209,61 @@
         })
     }
 
-    pub fn line(&mut self, conn: usize) -> Option<&mut Line<N::Stream>> {
-        self.lines.get_mut(conn)
+    pub fn connection(&mut self, conn: usize) -> Option<&mut Connection<N::Stream>> {
+        self.connections.get_mut(conn)
     }
 
     pub fn len(&self) -> usize {
-        self.lines.len()
+        self.connections.len()
     }
 
     pub fn is_empty(&self) -> bool {
-        self.lines.is_empty()
+        self.connections.is_empty()
     }
 
     pub fn conns(&self) -> Vec<usize> {
-        self.lines.iter().map(|(conn, _)| conn).collect()
+        self.connections.iter().map(|(conn, _)| conn).collect()
     }
 
     /// Sends, now or when the peer takes it. What breaks is told by an event.
     pub fn send(&mut self, conn: usize, bytes: Bytes) {
-        if let Some(line) = self.lines.get_mut(conn) {
-            line.out.push(bytes);
-            let held = line.connecting || line.accepted && self.cut.outwards;
-            if !held {
-                let _ = line.out.flush(&mut line.stream);
+        if let Some(connection) = self.connections.get_mut(conn) {
+            connection.out.push(bytes);
+            let blocked = connection.connecting || connection.accepted && self.cut.outwards;
+            if !blocked {
+                let _ = connection.out.flush(&mut connection.stream);
             }
         }
     }
 
     pub fn unsent(&self, conn: usize) -> usize {
-        self.lines.get(conn).map_or(0, |line| line.out.len())
+        self.connections
+            .get(conn)
+            .map_or(0, |connection| connection.out.len())
     }
 
     pub fn close(&mut self, conn: usize) {
-        self.lines.try_remove(conn);
+        self.connections.try_remove(conn);
     }
 
     /// Closes a connection once all is written.
-    pub fn close_after(&mut self, conn: usize) {
-        if let Some(line) = self.lines.get_mut(conn) {
-            line.closing = true;
-            if line.out.is_empty() {
+    pub fn close_when_written(&mut self, conn: usize) {
+        if let Some(connection) = self.connections.get_mut(conn) {
+            connection.closing = true;
+            if connection.out.is_empty() {
                 self.close(conn);
             }
         }
     }
 
     /// Ends this side's sending only.
-    pub fn end(&mut self, conn: usize) {
-        if let Some(line) = self.lines.get_mut(conn) {
-            let _ = line.stream.shutdown_write();
+    pub fn shutdown_write(&mut self, conn: usize) {
+        if let Some(connection) = self.connections.get_mut(conn) {
+            let _ = connection.stream.shutdown_write();
         }
     }
 
-    pub fn set(&mut self, at: Micros, due: D) {
+    pub fn set_timer(&mut self, at: Micros, due: D) {
         self.set += 1;
         self.timers.push(Reverse((at, self.set, due)));
     }
@@ -275,13 +287,17 @@
     ///
     /// # Errors
     /// The system cannot be asked.
-    pub fn poll(&mut self, wait: Micros, came: &mut Vec<(usize, Came)>) -> io::Result<()> {
-        came.clear();
+    pub fn poll(
+        &mut self,
+        wait: Micros,
+        events: &mut Vec<(usize, ConnectionEvent)>,
+    ) -> io::Result<()> {
+        events.clear();
         for (conn, serial) in std::mem::take(&mut self.closes) {
             if self
-                .lines
+                .connections
                 .get(conn)
-                .is_some_and(|line| line.serial == serial)
+                .is_some_and(|connection| connection.serial == serial)
             {
                 self.close(conn);
             }
@@ -289,18 +305,20 @@
         let mut ready = std::mem::take(&mut self.ready);
         self.net.poll(&mut ready, wait)?;
         if !self.cut.inwards {
-            ready.extend(std::mem::take(&mut self.unheard).into_values());
+            ready.extend(std::mem::take(&mut self.deferred_events).into_values());
         }
         for event in &ready {
             match event.token {
-                token if self.holds_back(token) => {
-                    let held = self.unheard.entry(token).or_insert(*event);
-                    held.readable |= event.readable;
-                    held.read_closed |= event.read_closed;
-                    held.error |= event.error;
+                token if self.is_deferred(token) => {
+                    let deferred = self.deferred_events.entry(token).or_insert(*event);
+                    deferred.readable |= event.readable;
+                    deferred.read_closed |= event.read_closed;
+                    deferred.error |= event.error;
+                }
+                token if token >= FIRST_CONN => {
+                    self.handle_ready(token - FIRST_CONN, event, events);
                 }
-                token if token >= FIRST_CONN => self.came(token - FIRST_CONN, event, came),
-                token if token >= 4 => self.accept(token - 4, token, came),
+                token if token >= 4 => self.accept(token - 4, token, events),
                 _ => {}
             }
         }
@@ -308,16 +326,16 @@
         Ok(())
     }
 
-    fn accept(&mut self, number: usize, token: Token, came: &mut Vec<(usize, Came)>) {
+    fn accept(&mut self, number: usize, token: Token, events: &mut Vec<(usize, ConnectionEvent)>) {
         loop {
-            let next = FIRST_CONN + self.lines.vacant_key();
+            let next = FIRST_CONN + self.connections.vacant_key();
             let Some(Some(listener)) = self.listeners.get_mut(number) else {
                 return;
             };
             match self.net.accept(listener, next) {
                 Ok(stream) => {
-                    let conn = self.hold(stream, false, true);
-                    came.push((conn, Came::Opened(number)));
+                    let conn = self.insert(stream, false, true);
+                    events.push((conn, ConnectionEvent::Accepted(number)));
                     let all = ReadyEvent {
                         token,
                         readable: true,
@@ -325,7 +343,7 @@
                         read_closed: false,
                         error: false,
                     };
-                    self.came(conn, &all, came);
+                    self.handle_ready(conn, &all, events);
                 }
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(_) => return,
@@ -333,71 +351,83 @@
         }
     }
 
-    fn came(&mut self, conn: usize, event: &ReadyEvent, came: &mut Vec<(usize, Came)>) {
+    fn handle_ready(
+        &mut self,
+        conn: usize,
+        event: &ReadyEvent,
+        events: &mut Vec<(usize, ConnectionEvent)>,
+    ) {
         let unix = self.unix();
-        let Some(line) = self.lines.get_mut(conn) else {
+        let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
-        if line.connecting {
-            match (line.stream.take_error(), line.stream.check_connected()) {
+        if connection.connecting {
+            match (
+                connection.stream.take_error(),
+                connection.stream.check_connected(),
+            ) {
                 (Ok(None), Ok(())) => {
-                    line.connecting = false;
-                    came.push((conn, Came::Up));
+                    connection.connecting = false;
+                    events.push((conn, ConnectionEvent::Connected));
                 }
                 (Ok(None), Err(e)) if e.kind() == ErrorKind::NotConnected => return,
                 (error, _) => {
                     let refused =
                         matches!(&error, Ok(Some(e)) if e.kind() == ErrorKind::ConnectionRefused);
                     self.close(conn);
-                    return came.push((conn, Came::Broke { refused }));
+                    return events.push((conn, ConnectionEvent::Failed { refused }));
                 }
             }
         }
-        let held = line.accepted && self.cut.outwards;
-        let broken = !held && line.out.flush(&mut line.stream).is_err();
-        if line.closing && line.out.is_empty() {
-            return self.closes.push((conn, line.serial));
+        let blocked = connection.accepted && self.cut.outwards;
+        let broken = !blocked && connection.out.flush(&mut connection.stream).is_err();
+        if connection.closing && connection.out.is_empty() {
+            return self.closes.push((conn, connection.serial));
         }
         let mut some = false;
         if !(event.readable || event.read_closed || event.error) {
             return;
         }
         loop {
-            if line.buf.is_empty() {
-                line.since = self.net.sent(&line.stream).unwrap_or(unix);
+            if connection.buf.is_empty() {
+                connection.since = self.net.send_time(&connection.stream).unwrap_or(unix);
             }
-            match fill(&mut line.stream, &mut line.buf, &mut self.scratch) {
+            match fill(
+                &mut connection.stream,
+                &mut connection.buf,
+                &mut self.scratch,
+            ) {
                 ReadOutcome::More => some = true,
                 ReadOutcome::Empty => break,
                 ReadOutcome::Closed | ReadOutcome::Failed => {
-                    line.ended = true;
+                    connection.ended = true;
                     break;
                 }
             }
-            if line.buf.len() > UNREAD_MOST {
-                line.ended = true;
+            if connection.buf.len() > UNREAD_MOST {
+                connection.ended = true;
                 break;
             }
         }
         if some {
-            came.push((conn, Came::Bytes));
+            events.push((conn, ConnectionEvent::Received));
         }
-        if line.ended {
-            self.ended(conn, broken, came);
+        if connection.ended {
+            self.ended(conn, broken, events);
         }
     }
 
     /// The peer has ended its sending, or the connection broke.
-    fn ended(&mut self, conn: usize, broken: bool, came: &mut Vec<(usize, Came)>) {
-        let Some(line) = self.lines.get_mut(conn) else {
+    fn ended(&mut self, conn: usize, broken: bool, events: &mut Vec<(usize, ConnectionEvent)>) {
+        let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
-        let error = matches!(line.stream.take_error(), Ok(Some(_)) | Err(_));
+        let error = matches!(connection.stream.take_error(), Ok(Some(_)) | Err(_));
         if !broken && !error {
-            return came.push((conn, Came::Ended));
+            return events.push((conn, ConnectionEvent::ReadClosed));
         }
-        came.push((conn, Came::Broke { refused: false }));
+        events.push((conn, ConnectionEvent::Failed { refused: false }));
         // Its bytes may still be looked at in this round.
-        self.closes.push((conn, line.serial));
+        self.closes.push((conn, connection.serial));
     }
 }
--- a/crates/testbed/src/protocol_options.rs
+++ b/crates/testbed/src/protocol_options.rs
@@ -1,7 +1,7 @@
 //! Which protocol the emulated clients speak, and the key prefixes that select a request's class.
 
 /// Key prefix of each class, in the order of the site's classes, for clients whose requests are classified by key.
-pub const KEYS: [&str; 3] = ["logger", "alarm", "ack"];
+pub const KEY_PREFIXES: [&str; 3] = ["logger", "alarm", "ack"];
 
 /// What clients speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/testbed/src/real_fleet/mod.rs
+++ b/crates/testbed/src/real_fleet/mod.rs
@@ -18,13 +18,13 @@
 use sloewick_node::transport::PendingSignals as Signals;
 use sloewick_node::Node;
 
-use crate::checker::observations::{Announced, Event, Recorder};
+use crate::checker::observations::{AnnouncedState, Event, Recorder};
 use crate::commands::CommandQueue;
 use crate::emulators::cache_server::{self, CacheServer};
-use crate::emulators::clients::{self, Crowd};
+use crate::emulators::clients::{self, ClientPool};
 use crate::emulators::discovery::{self, Discovery, Listed, Roster};
 use crate::emulators::idle_clients::Idle;
-use crate::emulators::misbehaving_clients::Rude;
+use crate::emulators::misbehaving_clients::MisbehavingClients;
 use crate::emulators::origin::{self, Origin};
 use crate::emulators::persistent_clients::{self, PersistentClients};
 use crate::faults::environment::FaultEnvironment;
@@ -32,7 +32,7 @@
 use crate::port::Cut;
 use crate::process_fleet::{Process, ProcessSettings};
 use crate::rng::Rng;
-use crate::site::{self, Clients, Speech};
+use crate::site::{self, Clients, ProtocolOptions};
 use addresses::{own_address, FreeAddresses};
 pub(crate) use serving::RunningNode;
 use serving::ServingThread;
@@ -73,7 +73,7 @@
     scenario: Scenario,
     free: FreeAddresses,
     nodes_as: Nodes,
-    speech: Speech,
+    protocols: ProtocolOptions,
     seed: u64,
     pub(crate) recorder: Recorder,
     epoch: Micros,
@@ -107,7 +107,7 @@
 
 impl RealFleet {
     pub(crate) fn record(&self, event: Event) {
-        self.recorder.tell(unix(), event);
+        self.recorder.record(unix(), event);
     }
 
     fn place(&mut self, place: usize) -> Option<SocketAddr> {
@@ -151,7 +151,7 @@
     pub(crate) fn new(
         scenario: &Scenario,
         seed: u64,
-        speech: Speech,
+        protocols: ProtocolOptions,
         nodes_as: Nodes,
         recorder: Recorder,
         epoch: Micros,
@@ -184,7 +184,7 @@
             scenario: scenario.clone(),
             free,
             nodes_as,
-            speech,
+            protocols,
             seed,
             recorder,
             epoch,
@@ -213,7 +213,7 @@
 
     /// Whether nodes listen for the memcached binary protocol.
     pub(crate) fn serves_memcached(&self) -> bool {
-        matches!(self.speech.clients, Clients::Memcached | Clients::Both)
+        matches!(self.protocols.clients, Clients::Memcached | Clients::Both)
     }
 
     pub(crate) fn start_origin(&mut self) -> io::Result<()> {
@@ -250,7 +250,7 @@
         let set = site::clients(
             self.addresses(),
             self.memcached_addresses(),
-            self.speech,
+            self.protocols,
             self.seed,
             &self.scenario,
             until,
@@ -258,7 +258,7 @@
         let (commands, recorder) = (self.clients_commands.clone(), self.recorder.clone());
         let served = ServingThread::start("clients", move || {
             let net = MioTransport::new()?;
-            Ok(Box::new(Crowd::new(net, set, commands, recorder)))
+            Ok(Box::new(ClientPool::new(net, set, commands, recorder)))
         })?;
         self.emulator_threads.push(served);
         Ok(())
@@ -286,7 +286,8 @@
         let seed = self.seed;
         let served = ServingThread::start("misbehaving", move || {
             let net = MioTransport::new()?;
-            let clients = Rude::new(net, addresses, memcached, seed, commands, recorder);
+            let clients =
+                MisbehavingClients::new(net, addresses, memcached, seed, commands, recorder);
             Ok(Box::new(clients))
         })?;
         self.emulator_threads.push(served);
@@ -336,13 +337,20 @@
         self.nodes[node].served = None;
         self.nodes[node].starts += 1;
         self.nodes[node].stopping = false;
-        let mut rng = Rng::part(self.seed, "node", node * 1000 + self.nodes[node].starts);
+        let mut rng = Rng::stream(self.seed, "node", node * 1000 + self.nodes[node].starts);
         let known = self.last_rosters[node]
             .take()
             .unwrap_or_else(|| self.roster.clone());
         let known = (known.rev, &known.list[..]);
         let (address, discovery) = (self.nodes[node].address, self.discovery_of(node));
-        let text = site::node_config(node, &self.scenario, address, discovery, rng.word(), known);
+        let text = site::node_config(
+            node,
+            &self.scenario,
+            address,
+            discovery,
+            rng.next_u64(),
+            known,
+        );
         self.settings_edit.apply(text)
     }
 
@@ -363,7 +371,7 @@
         let Nodes::Processes(program) = &self.nodes_as else {
             return;
         };
-        let memcached = self.speech.file(self.nodes[node].memcached);
+        let memcached = self.protocols.file(self.nodes[node].memcached);
         let settings = ProcessSettings {
             program,
             name: format!("node-{node}"),
@@ -436,8 +444,8 @@
     fn start_server(&mut self, number: usize, place: usize, _zone: usize, cold: bool) {
         let command_queue = CommandQueue::default();
         let Some(at) = self.place(place) else { return };
-        let memcached = self.speech.box_speaks_memcached(number, &self.scenario);
-        let set = site::cache_box(number, at, self.origin, cold, memcached, self.seed);
+        let memcached = self.protocols.server_uses_memcached(number, &self.scenario);
+        let set = site::cache_server_settings(number, at, self.origin, cold, memcached, self.seed);
         let (its_orders, recorder) = (command_queue.clone(), self.recorder.clone());
         let served = ServingThread::start(&format!("box-{number}"), move || {
             Ok(Box::new(CacheServer::new(
@@ -462,7 +470,7 @@
     }
 
     fn kill_server(&mut self, number: usize) {
-        self.record(Event::BoxEnded { at_box: number });
+        self.record(Event::ServerEnded { server: number });
         if let Some(b) = self.servers.get_mut(number) {
             b.served = None;
         }
@@ -470,13 +478,13 @@
 
     fn command_server(&mut self, number: usize, command: cache_server::ControlCommand) {
         if let Some(b) = self.servers.get(number) {
-            b.command_queue.give(command);
+            b.command_queue.push(command);
         }
     }
 
-    fn listed(&self, number: usize, place: usize, zone: usize, told: Announced) -> Listed {
-        let told = match told {
-            Announced::In { boot } if boot > 0 => Announced::In {
+    fn listed(&self, number: usize, place: usize, zone: usize, state: AnnouncedState) -> Listed {
+        let state = match state {
+            AnnouncedState::InService { boot } if boot > 0 => AnnouncedState::InService {
                 boot: self.epoch + boot,
             },
             other => other,
@@ -490,8 +498,8 @@
                 .copied()
                 .unwrap_or(self.origin),
             zone: site::ZONES[zone % 2].to_string(),
-            kind: self.speech.model(number, &self.scenario).to_string(),
-            told,
+            kind: self.protocols.model(number, &self.scenario).to_string(),
+            state,
         }
     }
 
@@ -499,23 +507,23 @@
         if let discovery::ControlCommand::Change(listed) = &command {
             self.roster.change(listed);
         }
-        self.discovery_commands.give(command);
+        self.discovery_commands.push(command);
     }
 
     fn command_origin(&mut self, command: origin::ControlCommand) {
-        self.origin_commands.give(command);
+        self.origin_commands.push(command);
     }
 
     fn command_clients(&mut self, command: clients::ControlCommand) {
-        self.clients_commands.give(command);
+        self.clients_commands.push(command);
     }
 
-    fn rude(&mut self, rate: f64) {
-        self.misbehaving_commands.give(rate);
+    fn set_misbehaving_client_rate(&mut self, rate: f64) {
+        self.misbehaving_commands.push(rate);
     }
 
-    fn idle(&mut self, count: usize) {
-        self.idle_commands.give(count);
+    fn set_idle_clients(&mut self, count: usize) {
+        self.idle_commands.push(count);
     }
 
     fn kill_node(&mut self, node: usize) {
@@ -568,20 +576,20 @@
             .for_each(|b| b.vanished = true);
     }
 
-    fn cut(&mut self, number: usize, from_box: bool, cut: bool) {
+    fn cut_link(&mut self, number: usize, from_server: bool, cut: bool) {
         let Some(b) = self.servers.get_mut(number).filter(|b| !b.vanished) else {
             return;
         };
-        *(if from_box {
+        *(if from_server {
             &mut b.cut.outwards
         } else {
             &mut b.cut.inwards
         }) = cut;
         b.command_queue
-            .give(cache_server::ControlCommand::Cut(b.cut));
+            .push(cache_server::ControlCommand::Cut(b.cut));
     }
 
-    fn refuse(&mut self, number: usize, refuses: bool) {
+    fn set_refuses_connections(&mut self, number: usize, refuses: bool) {
         self.command_server(number, cache_server::ControlCommand::Refuse(refuses));
     }
 
@@ -594,12 +602,12 @@
         }
         let discovery = self.discovery_at.clone();
         let mine = move || discovery.lock().unwrap_or_else(PoisonError::into_inner)[node];
-        let (speech, memcached) = (self.speech, self.nodes[node].memcached);
+        let (protocols, memcached) = (self.protocols, self.nodes[node].memcached);
         let remote = Arc::new(SignalFlags::default());
         let its = remote.clone();
         let served = ServingThread::start(&format!("node-{node}"), move || {
             let mut config = config::parse(&text).map_err(|e| io::Error::other(e.to_string()))?;
-            speech
+            protocols
                 .configure(&mut config, memcached)
                 .map_err(io::Error::other)?;
             let source = Box::new(move || {
@@ -624,7 +632,7 @@
 
     fn move_discovery(&mut self) {
         self.discovery_commands
-            .give(discovery::ControlCommand::Retire(1_500_000));
+            .push(discovery::ControlCommand::Retire(1_500_000));
         self.retired.extend(self.discovery.take());
         let fresh = self.free.some(self.nodes.len());
         match fresh {
@@ -674,7 +682,7 @@
         self.run_discovery(self.roster.rev);
     }
 
-    fn say(&mut self, text: String) {
+    fn log(&mut self, text: String) {
         self.announcements.push(text.clone());
         self.record(Event::Fault(text));
     }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -11,21 +11,21 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
-    pub aim: Micros,
-    pub worth: f64,
+    pub latency_objective: Micros,
+    pub priority_weight: f64,
 }
 
 /// What one span of time brought.
 #[derive(Clone, Debug, Default)]
 pub struct Span {
     /// By class: asked (first tries), and those answered within the aim.
-    pub asked: Vec<u64>,
+    pub requested: Vec<u64>,
     pub in_time: Vec<u64>,
     pub served: u64,
     pub busy: u64,
     pub failed: u64,
     pub ended: u64,
-    pub left: u64,
+    pub disconnected: u64,
     pub retries: u64,
     pub attempts: u64,
     pub fetches: u64,
@@ -38,16 +38,16 @@
 impl Span {
     fn new(classes: usize) -> Span {
         Span {
-            asked: vec![0; classes],
+            requested: vec![0; classes],
             in_time: vec![0; classes],
             ..Span::default()
         }
     }
 
     /// Time to a served answer below which this part of them stays, in microseconds; 0 for none.
-    pub fn quantile(&mut self, part: f64) -> Micros {
+    pub fn quantile(&mut self, fraction: f64) -> Micros {
         self.latencies.sort_unstable();
-        let at = (self.latencies.len() as f64 * part) as usize;
+        let at = (self.latencies.len() as f64 * fraction) as usize;
         self.latencies
             .get(at.min(self.latencies.len().saturating_sub(1)))
             .copied()
@@ -60,36 +60,36 @@
             counts
                 .iter()
                 .zip(classes)
-                .map(|(n, class)| *n as f64 * class.worth)
+                .map(|(n, class)| *n as f64 * class.priority_weight)
                 .sum()
         };
-        let asked = sum(&self.asked);
-        if asked == 0.0 {
+        let requested = sum(&self.requested);
+        if requested == 0.0 {
             1.0
         } else {
-            sum(&self.in_time) / asked
+            sum(&self.in_time) / requested
         }
     }
 
     /// The part of a class's first tries that was answered within the aim.
-    pub fn of_class(&self, class: usize) -> f64 {
-        if self.asked[class] == 0 {
+    pub fn class_service(&self, class: usize) -> f64 {
+        if self.requested[class] == 0 {
             1.0
         } else {
-            self.in_time[class] as f64 / self.asked[class] as f64
+            self.in_time[class] as f64 / self.requested[class] as f64
         }
     }
 
     fn add(&mut self, other: &Span) {
-        for class in 0..self.asked.len() {
-            self.asked[class] += other.asked[class];
+        for class in 0..self.requested.len() {
+            self.requested[class] += other.requested[class];
             self.in_time[class] += other.in_time[class];
         }
         self.served += other.served;
         self.busy += other.busy;
         self.failed += other.failed;
         self.ended += other.ended;
-        self.left += other.left;
+        self.disconnected += other.disconnected;
         self.retries += other.retries;
         self.attempts += other.attempts;
         self.fetches += other.fetches;
@@ -105,7 +105,7 @@
 
 struct Open {
     first: Id,
-    asked: Micros,
+    requested: Micros,
     class: usize,
 }
 
@@ -118,7 +118,7 @@
     /// When each first try was asked, and whether it has been answered in time.
     firsts: HashMap<Id, (Micros, usize, bool)>,
     /// Tries in the order in which they were asked, to be forgotten.
-    asked: VecDeque<(Micros, Id)>,
+    requested: VecDeque<(Micros, Id)>,
 }
 
 impl Report {
@@ -128,7 +128,7 @@
             seconds: BTreeMap::new(),
             open: HashMap::new(),
             firsts: HashMap::new(),
-            asked: VecDeque::new(),
+            requested: VecDeque::new(),
         }
     }
 
@@ -140,87 +140,87 @@
     }
 
     /// Takes up an observation; they come in the order of their times.
-    pub fn see(&mut self, observation: &Observation) {
+    pub fn observe(&mut self, observation: &Observation) {
         let at = observation.at;
         self.forget_old_requests(at);
         match &observation.event {
-            Event::Asked {
+            Event::RequestSent {
                 id, class, first, ..
-            } => self.asked(at, id, *class, first),
-            Event::Answered { id, how } => self.answered(at, id, how),
-            Event::Left { id } => {
+            } => self.requested(at, id, *class, first),
+            Event::Answered { id, answer } => self.answered(at, id, answer),
+            Event::ClientDisconnected { id } => {
                 // A client that disconnects does not wait, and does not count as asked.
                 if let Some(open) = self.open.remove(id).filter(|o| o.first == *id) {
-                    let span = self.second(open.asked);
-                    span.asked[open.class] -= 1;
-                    span.left += 1;
+                    let span = self.second(open.requested);
+                    span.requested[open.class] -= 1;
+                    span.disconnected += 1;
                 }
             }
             Event::Attempt { .. } => self.second(at).attempts += 1,
             Event::Fetch { shared: false } => self.second(at).fetches += 1,
             Event::Fetch { shared: true } => self.second(at).shared_fetches += 1,
             Event::Effect { .. } => self.second(at).effects += 1,
-            Event::Dropped { .. } => self.second(at).dropped_repeats += 1,
+            Event::RepeatDropped { .. } => self.second(at).dropped_repeats += 1,
             _ => {}
         }
     }
 
     fn forget_old_requests(&mut self, now: Micros) {
-        let old = |(asked, _): &(Micros, Id)| now - asked > REMEMBERED;
-        while self.asked.front().is_some_and(old) {
-            if let Some((_, id)) = self.asked.pop_front() {
+        let old = |(requested, _): &(Micros, Id)| now - requested > REMEMBERED;
+        while self.requested.front().is_some_and(old) {
+            if let Some((_, id)) = self.requested.pop_front() {
                 self.open.remove(&id);
                 self.firsts.remove(&id);
             }
         }
     }
 
-    fn asked(&mut self, at: Micros, id: &Id, class: usize, first: &Id) {
+    fn requested(&mut self, at: Micros, id: &Id, class: usize, first: &Id) {
         let span = self.second(at);
         if id == first {
-            span.asked[class] += 1;
+            span.requested[class] += 1;
             self.firsts.insert(id.clone(), (at, class, false));
         } else {
             span.retries += 1;
         }
-        self.asked.push_back((at, id.clone()));
+        self.requested.push_back((at, id.clone()));
         let open = Open {
             first: first.clone(),
-            asked: at,
+            requested: at,
             class,
         };
         self.open.insert(id.clone(), open);
     }
 
-    fn answered(&mut self, at: Micros, id: &Id, how: &Answer) {
+    fn answered(&mut self, at: Micros, id: &Id, answer: &Answer) {
         let Some(open) = self.open.remove(id) else {
             return;
         };
         let span = self.second(at);
-        match how {
+        match answer {
             Answer::Served => {
                 span.served += 1;
-                span.latencies.push(at - open.asked);
+                span.latencies.push(at - open.requested);
             }
             Answer::Busy(_) => span.busy += 1,
             Answer::Ended { .. } => span.ended += 1,
             Answer::Failed | Answer::Foreign(_) => span.failed += 1,
         }
-        if *how == Answer::Served {
+        if *answer == Answer::Served {
             self.served_first(at, &open);
         }
     }
 
     /// The first answer with a value to a request or a retry of it; in time if that is within the class's objective.
     fn served_first(&mut self, at: Micros, open: &Open) {
-        let objective = self.classes[open.class].aim;
-        let Some((asked, class, done)) = self.firsts.get_mut(&open.first) else {
+        let objective = self.classes[open.class].latency_objective;
+        let Some((requested, class, done)) = self.firsts.get_mut(&open.first) else {
             return;
         };
-        if !*done && at - *asked <= objective {
+        if !*done && at - *requested <= objective {
             *done = true;
-            let (asked, class) = (*asked, *class);
-            self.second(asked).in_time[class] += 1;
+            let (requested, class) = (*requested, *class);
+            self.second(requested).in_time[class] += 1;
         }
     }
 
@@ -233,12 +233,12 @@
         all
     }
 
-    pub fn whole(&self) -> Span {
+    pub fn total(&self) -> Span {
         self.between(i64::MIN, i64::MAX)
     }
 
     /// The lowest service of ten seconds in a row.
-    pub fn worst_ten(&self) -> f64 {
+    pub fn worst_ten_seconds(&self) -> f64 {
         let last = self.seconds.keys().next_back().copied().unwrap_or(0);
         let spans = (0..=(last - 10).max(0))
             .map(|from| self.between(from, from + 10).service(&self.classes));
@@ -249,16 +249,16 @@
     pub fn line(&self, span: &mut Span, seconds: f64) -> String {
         let mut out = String::new();
         let (p50, p99) = (span.quantile(0.5), span.quantile(0.99));
-        let asked: u64 = span.asked.iter().sum();
+        let requested: u64 = span.requested.iter().sum();
         // Writing to a string cannot fail.
         let _ = write!(
             out,
             "{:6.0} req/s  service {:.3}",
-            asked as f64 / seconds,
+            requested as f64 / seconds,
             span.service(&self.classes)
         );
         for (i, class) in self.classes.iter().enumerate() {
-            let _ = write!(out, "  {} {:.3}", class.name, span.of_class(i));
+            let _ = write!(out, "  {} {:.3}", class.name, span.class_service(i));
         }
         let _ = write!(
             out,
@@ -281,14 +281,14 @@
             .map(|(i, c)| {
                 (
                     c.name.clone(),
-                    serde_json::json!({"asked": span.asked[i], "in_time": span.in_time[i]}),
+                    serde_json::json!({"asked": span.requested[i], "in_time": span.in_time[i]}),
                 )
             })
             .collect();
         serde_json::json!({
             "seconds": seconds, "service": span.service(&self.classes), "classes": classes,
             "served": span.served, "busy": span.busy, "failed": span.failed, "ended": span.ended,
-            "left": span.left, "retries": span.retries, "attempts": span.attempts,
+            "left": span.disconnected, "retries": span.retries, "attempts": span.attempts,
             "origin_fetches": span.fetches, "shared_fetches": span.shared_fetches,
             "effects": span.effects, "dropped_repeats": span.dropped_repeats,
             "p50_ms": span.quantile(0.5) as f64 / 1000.0, "p99_ms": span.quantile(0.99) as f64 / 1000.0,
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -20,7 +20,7 @@
 
 /// What the settings of a site promise.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct Requirements {
     /// By class.
     pub classes: Vec<Repeat>,
     /// How long after the client's deadline an answer still counts.
@@ -28,36 +28,38 @@
     /// Time after the announcement within which nodes may still send to a server that is draining or gone.
     pub grace: Micros,
     /// Longest delay of the network, one way.
-    pub way: Micros,
+    pub network_delay: Micros,
     /// The time over which the work of a cold server is summed.
-    pub fall: Micros,
+    pub overload_window: Micros,
     /// What a cold server can take.
-    pub cold: Cold,
+    pub cold: ColdServerLimits,
 }
 
 /// What a server that is warming up can take.
 #[derive(Clone, Debug)]
-pub struct Cold {
+pub struct ColdServerLimits {
     /// Fraction of its capacity at its start.
-    pub from: f64,
+    pub initial_fraction: f64,
     /// How long it warms up.
-    pub time: Micros,
+    pub warm_up_time: Micros,
     /// It fails at so many times its capacity over the time that work is summed.
-    pub multiple: f64,
+    pub overload_multiple: f64,
     /// Mean work of a request, by class.
-    pub work: Vec<Micros>,
+    pub mean_work: Vec<Micros>,
 }
 
-impl Cold {
+impl ColdServerLimits {
     /// Requests of the least mean work that a box of this speed and age bears in the time to a fall, with what is put
     /// down to chance.
     pub(crate) fn borne(&self, speed: f64, age: Micros, fall: Micros) -> f64 {
-        let grown = (self.from + (1.0 - self.from) * age as f64 / self.time.max(1) as f64).min(1.0);
-        let budget = self.multiple * speed * grown * fall as f64 / self.unit();
+        let grown = (self.initial_fraction
+            + (1.0 - self.initial_fraction) * age as f64 / self.warm_up_time.max(1) as f64)
+            .min(1.0);
+        let budget = self.overload_multiple * speed * grown * fall as f64 / self.unit();
         budget + 2.0 * budget.sqrt() + 2.0
     }
 
     pub(crate) fn unit(&self) -> f64 {
-        self.work.iter().copied().min().unwrap_or(1).max(1) as f64
+        self.mean_work.iter().copied().min().unwrap_or(1).max(1) as f64
     }
 }
--- a/crates/testbed/src/restart_soak/mod.rs
+++ b/crates/testbed/src/restart_soak/mod.rs
@@ -17,7 +17,7 @@
 use rustix::process::Signal;
 use sloewick_decision::api::Micros;
 
-use crate::checker::observations::{Answer, Event, Names, Observation, Recorder};
+use crate::checker::observations::{Answer, Event, Observation, Recorder, RequestNames};
 use crate::checker::{Checker, Rule, Violation};
 use crate::emulators::clients::ControlCommand;
 use crate::emulators::persistent_clients;
@@ -25,7 +25,7 @@
 use crate::faults::schedule::FaultScheduler;
 use crate::process_fleet::Process;
 use crate::real_fleet::{unix, Nodes, RealFleet, SettingsEdit, MAX_THREAD_DELAY};
-use crate::requirements::Figures;
+use crate::requirements::Requirements;
 use crate::site;
 use plan::{NodeSignal, Part, Plan, Restart};
 
@@ -114,7 +114,7 @@
 /// # Errors
 /// The fleet cannot be started: no addresses, threads or descriptors, or a node does not listen.
 pub fn play(seed: u64, options: &Options) -> io::Result<Outcome> {
-    let plan = Plan::draw(seed, site::LONGEST, &options.parts);
+    let plan = Plan::draw(seed, site::MAX_DEADLINE, &options.parts);
     let mut soak = Soak::start(plan, options.program.clone())?;
     soak.run();
     Ok(soak.end())
@@ -176,7 +176,7 @@
     fleet: RealFleet,
     scheduler: FaultScheduler,
     checker: Checker,
-    names: Names,
+    names: RequestNames,
     observations: Receiver<Observation>,
     tasks: BTreeMap<(Micros, u64), Task>,
     task_count: u64,
@@ -197,7 +197,7 @@
         let mut fleet = RealFleet::new(
             &plan.scenario,
             plan.seed,
-            site::Speech::default(),
+            site::ProtocolOptions::default(),
             Nodes::Processes(program),
             recorder,
             epoch,
@@ -216,9 +216,9 @@
         fleet.start_persistent_clients(clients(&plan, &fleet))?;
         fleet.start_misbehaving_clients()?;
         fleet.start_idle_clients()?;
-        let mut checker = Checker::new(Figures {
+        let mut checker = Checker::new(Requirements {
             slack: ANSWER_MARGIN,
-            ..site::figures(MAX_THREAD_DELAY)
+            ..site::requirements(MAX_THREAD_DELAY)
         });
         checker.require_service();
         let processes = NodeState {
@@ -230,7 +230,7 @@
             fleet,
             scheduler,
             checker,
-            names: Names::default(),
+            names: RequestNames::default(),
             observations,
             tasks: BTreeMap::new(),
             task_count: 0,
@@ -332,7 +332,7 @@
                 self.at(now + lasts, Task::Resume { node });
             }
             Task::Resume { node } => self.send(node, Signal::CONT),
-            Task::IdleClients(count) => self.fleet.idle(count),
+            Task::IdleClients(count) => self.fleet.set_idle_clients(count),
         }
     }
 
@@ -399,7 +399,7 @@
             "node {node} has not ended {} ms after SIGTERM, when it may be killed",
             self.plan.kill_after() / 1000
         );
-        self.violate(Rule::NoneLost, now, why);
+        self.violate(Rule::NoRequestLost, now, why);
         self.fleet.kill_node(node);
         self.process_ended(node, now);
     }
@@ -440,7 +440,7 @@
                 let words = self.fleet.process(node).map(|p| p.last_words());
                 let words = words.unwrap_or_default();
                 let why = format!("node {node} ended unasked or badly ({status}): {words}");
-                self.violate(Rule::NoneLost, now, why);
+                self.violate(Rule::NoRequestLost, now, why);
             }
             self.ended.extend(self.fleet.take_process(node));
             self.fleet.record(Event::NodeEnded {
@@ -492,22 +492,22 @@
                     self.plan.descriptors,
                     site::MEMORY_MB
                 );
-                self.violate(Rule::GoodManners, now, why);
+                self.violate(Rule::ProtocolAndLifecycle, now, why);
             }
         }
     }
 
     fn observe(&mut self, observation: Observation) {
-        let observation = self.names.see(observation);
+        let observation = self.names.resolve(observation);
         let counts = &mut self.counts;
         match &observation.event {
-            Event::Asked { .. } => counts.requests += 1,
-            Event::Answered { how, .. } => match how {
+            Event::RequestSent { .. } => counts.requests += 1,
+            Event::Answered { answer, .. } => match answer {
                 Answer::Served => counts.served += 1,
                 Answer::Busy(_) => counts.rejected += 1,
                 _ => counts.failed += 1,
             },
-            Event::Left { .. } => counts.disconnected += 1,
+            Event::ClientDisconnected { .. } => counts.disconnected += 1,
             Event::ClosedUnanswered { .. } => counts.closed += 1,
             _ => {}
         }
@@ -577,7 +577,7 @@
     let usual = site::clients(
         Vec::new(),
         Vec::new(),
-        site::Speech::default(),
+        site::ProtocolOptions::default(),
         plan.seed,
         &plan.scenario,
         until,
--- a/crates/testbed/src/restart_soak/plan.rs
+++ b/crates/testbed/src/restart_soak/plan.rs
@@ -175,7 +175,7 @@
 impl Plan {
     /// The plan of a seed, with these parts of it.
     pub fn draw(seed: u64, usual_longest_deadline: Micros, parts: &[Part]) -> Plan {
-        let mut rng = Rng::part(seed, "restart soak", 0);
+        let mut rng = Rng::stream(seed, "restart soak", 0);
         let longest = log_uniform(&mut rng, MIN_LONGEST_DEADLINE, MAX_LONGEST_DEADLINE);
         let nodes = if rng.below(SEEDS_PER_LARGE_FLEET) == 0 {
             20 + rng.below(11)
@@ -208,7 +208,7 @@
                 about: String::new(),
                 seconds,
                 nodes,
-                boxes: servers,
+                servers,
                 rate: RATE_PER_SERVER * servers as f64,
                 faults: Vec::new(),
             },
@@ -258,7 +258,7 @@
 }
 
 fn log_uniform(rng: &mut Rng, low: f64, high: f64) -> f64 {
-    low * (high / low).powf(rng.part_of_one())
+    low * (high / low).powf(rng.unit_interval())
 }
 
 /// The connections to each node; fewer to each of many nodes.
--- a/crates/testbed/src/rng.rs
+++ b/crates/testbed/src/rng.rs
@@ -11,17 +11,17 @@
     }
 
     /// An independent stream for a named part: draws of one part do not change those of another.
-    pub fn part(seed: u64, name: &str, number: usize) -> Rng {
+    pub fn stream(seed: u64, name: &str, number: usize) -> Rng {
         let mut rng = Rng(seed ^ 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(number as u64 + 1));
         for byte in name.bytes() {
             rng.0 = rng.0.wrapping_mul(0x100_0000_01b3) ^ u64::from(byte);
-            rng.word();
+            rng.next_u64();
         }
         rng
     }
 
     /// 64 random bits.
-    pub fn word(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut h = self.0;
         h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -30,8 +30,8 @@
     }
 
     /// From 0 to under 1.
-    pub fn part_of_one(&mut self) -> f64 {
-        (self.word() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn unit_interval(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// From 0 to under `n`; 0 for 0.
@@ -39,23 +39,23 @@
         if n == 0 {
             0
         } else {
-            (self.word() % n as u64) as usize
+            (self.next_u64() % n as u64) as usize
         }
     }
 
     /// Uniform from `low` to under `high`.
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
-        low + (high - low) * self.part_of_one()
+        low + (high - low) * self.unit_interval()
     }
 
     /// Whether an event of this probability happens; draws nothing for 0.
     pub fn chance(&mut self, p: f64) -> bool {
-        p > 0.0 && self.part_of_one() < p
+        p > 0.0 && self.unit_interval() < p
     }
 
     /// Exponential with this mean.
-    pub fn spread(&mut self, mean: f64) -> f64 {
-        -mean * (1.0 - self.part_of_one()).ln()
+    pub fn exponential(&mut self, mean: f64) -> f64 {
+        -mean * (1.0 - self.unit_interval()).ln()
     }
 
     /// One of a list, or none if it is empty.
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -11,9 +11,9 @@
 use crate::emulators::discovery::{list_json, Listed};
 use crate::emulators::{cache_server, clients, origin};
 use crate::faults::scenario::Scenario;
-pub use crate::protocol_options::{Clients, KEYS};
+pub use crate::protocol_options::{Clients, KEY_PREFIXES};
 use crate::report;
-use crate::requirements::{Cold, Figures, Repeat};
+use crate::requirements::{ColdServerLimits, Repeat, Requirements};
 
 pub const ZONES: [&str; 2] = ["ops-center", "eastside-plant"];
 pub const KINDS: [&str; 2] = ["std-box", "slow-box"];
@@ -25,9 +25,9 @@
 pub struct Class {
     pub name: &'static str,
     pub share: f64,
-    pub aim: Micros,
+    pub latency_objective: Micros,
     pub deadline: Micros,
-    pub worth: f64,
+    pub priority_weight: f64,
     pub repeat: Repeat,
     pub write: bool,
 }
@@ -37,27 +37,27 @@
     Class {
         name: "trace-read",
         share: 0.92,
-        aim: 150_000,
+        latency_objective: 150_000,
         deadline: 400_000,
-        worth: 1.0,
+        priority_weight: 1.0,
         repeat: Repeat::Free,
         write: false,
     },
     Class {
         name: "alarm-set",
         share: 0.06,
-        aim: 500_000,
+        latency_objective: 500_000,
         deadline: 2_000_000,
-        worth: 10.0,
-        repeat: Repeat::Keyed(WINDOW),
+        priority_weight: 10.0,
+        repeat: Repeat::Keyed(DEDUPLICATION_WINDOW),
         write: true,
     },
     Class {
         name: "alarm-ack",
         share: 0.02,
-        aim: 500_000,
+        latency_objective: 500_000,
         deadline: 2_000_000,
-        worth: 5.0,
+        priority_weight: 5.0,
         repeat: Repeat::Unsafe,
         write: true,
     },
@@ -69,8 +69,8 @@
     ("customer-svc", 0.16),
 ];
 /// How long all boxes drop a keyed write's repeat.
-pub const WINDOW: Micros = 10_000_000;
-pub const LONGEST: Micros = 2_000_000;
+pub const DEDUPLICATION_WINDOW: Micros = 10_000_000;
+pub const MAX_DEADLINE: Micros = 2_000_000;
 const DRAIN_GRACE: Micros = 2_000_000;
 const ANSWER_SLACK: Micros = 8_000;
 /// On sockets each time limit is this much longer.
@@ -89,7 +89,7 @@
 
 /// What boxes speak.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Boxes {
+pub enum ServerProtocols {
     #[default]
     Resp,
     Memcached,
@@ -101,25 +101,25 @@
 
 /// Who speaks what.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Speech {
+pub struct ProtocolOptions {
     pub clients: Clients,
-    pub boxes: Boxes,
+    pub servers: ServerProtocols,
 }
 
-impl Speech {
-    pub fn box_speaks_memcached(self, number: usize, scenario: &Scenario) -> bool {
-        match self.boxes {
-            Boxes::Resp => false,
-            Boxes::Memcached => true,
-            Boxes::Mixed => number % 2 == 1,
-            Boxes::Later => number >= scenario.boxes,
+impl ProtocolOptions {
+    pub fn server_uses_memcached(self, number: usize, scenario: &Scenario) -> bool {
+        match self.servers {
+            ServerProtocols::Resp => false,
+            ServerProtocols::Memcached => true,
+            ServerProtocols::Mixed => number % 2 == 1,
+            ServerProtocols::Later => number >= scenario.servers,
         }
     }
 
     /// A box's model, as the list has it.
     pub fn model(self, number: usize, scenario: &Scenario) -> &'static str {
-        let slow = usize::from(slow_kind(number));
-        if self.box_speaks_memcached(number, scenario) {
+        let slow = usize::from(is_slow_kind(number));
+        if self.server_uses_memcached(number, scenario) {
             KINDS_MEMCACHED[slow]
         } else {
             KINDS[slow]
@@ -129,7 +129,7 @@
     /// The file that a node needs for all this, where it needs one; `listen`: where it listens for the binary protocol.
     pub fn file(self, listen: SocketAddr) -> Option<String> {
         let front = matches!(self.clients, Clients::Memcached | Clients::Both);
-        (self != Speech::default()).then(|| memcached_file(front.then_some(listen)))
+        (self != ProtocolOptions::default()).then(|| memcached_file(front.then_some(listen)))
     }
 
     /// Gives a node's configuration the file that all this needs, where it needs one.
@@ -151,18 +151,18 @@
 }
 
 /// The figures that the judge goes by; `way`: the longest way over the network.
-pub fn figures(way: Micros) -> Figures {
-    Figures {
+pub fn requirements(network_delay: Micros) -> Requirements {
+    Requirements {
         classes: CLASSES.iter().map(|c| c.repeat).collect(),
         slack: ANSWER_SLACK + SOCKETS_SLACK,
         grace: DRAIN_GRACE + SOCKETS_SLACK,
-        way,
-        fall: FALL,
-        cold: Cold {
-            from: COLD_FROM,
-            time: COLD,
-            multiple: FALL_MULTIPLE,
-            work: CLASSES
+        network_delay,
+        overload_window: FALL,
+        cold: ColdServerLimits {
+            initial_fraction: COLD_FROM,
+            warm_up_time: COLD,
+            overload_multiple: FALL_MULTIPLE,
+            mean_work: CLASSES
                 .iter()
                 .map(|c| if c.write { WRITE_WORK } else { READ_WORK })
                 .collect(),
@@ -173,8 +173,8 @@
 pub fn report() -> report::Report {
     let class = |c: &Class| report::Class {
         name: c.name.to_string(),
-        aim: c.aim,
-        worth: c.worth,
+        latency_objective: c.latency_objective,
+        priority_weight: c.priority_weight,
     };
     report::Report::new(CLASSES.iter().map(class).collect())
 }
@@ -190,8 +190,8 @@
                 Repeat::Keyed(window) => ("guarded", window),
                 Repeat::Unsafe => ("single_shot", 0),
             };
-            json!({"name": c.name, "aim": ms(c.aim), "deadline": ms(c.deadline), "repeat": repeat,
-                   "window": ms(window), "dedup_scope": "all", "late_share": 0.0, "worth": c.worth,
+            json!({"name": c.name, "aim": ms(c.latency_objective), "deadline": ms(c.deadline), "repeat": repeat,
+                   "window": ms(window), "dedup_scope": "all", "late_share": 0.0, "worth": c.priority_weight,
                    "stream": false})
         })
         .collect();
@@ -249,7 +249,7 @@
                 text,
                 "[[route]]\noperation = \"{operation}\"\nkeys = \"{}/{n}/*\"\nclass = \"{}\"\n\
                  tenant = \"{tenant}\"\nkey_from = \"{key_from}\"\n",
-                KEYS[c], class.name
+                KEY_PREFIXES[c], class.name
             );
         }
     }
@@ -263,7 +263,7 @@
 }
 
 /// A box: the odd ones are of the slower kind.
-pub fn cache_box(
+pub fn cache_server_settings(
     number: usize,
     at: SocketAddr,
     origin: SocketAddr,
@@ -271,8 +271,8 @@
     memcached: bool,
     seed: u64,
 ) -> cache_server::Settings {
-    let mut rng = crate::rng::Rng::part(seed, "speed", number);
-    let speed = if slow_kind(number) {
+    let mut rng = crate::rng::Rng::stream(seed, "speed", number);
+    let speed = if is_slow_kind(number) {
         rng.between(0.51, 0.69)
     } else {
         rng.between(0.85, 1.1)
@@ -285,7 +285,7 @@
         speed,
         read_work: READ_WORK,
         write_work: WRITE_WORK,
-        room: 24,
+        queue_capacity: 24,
         connections: 250,
         handshake: 3_000,
         idle: CONN_IDLE,
@@ -294,12 +294,12 @@
         warm_after: 18_000_000,
         fall_multiple: FALL_MULTIPLE,
         fall: FALL,
-        kept_before: 0.94,
+        initial_hit_fraction: 0.94,
         seed,
     }
 }
 
-pub fn slow_kind(number: usize) -> bool {
+pub fn is_slow_kind(number: usize) -> bool {
     number % 4 >= 2
 }
 
@@ -311,7 +311,7 @@
         workers: ((fetches * 0.03).ceil() as usize).max(2),
         fetch_mean: 30_000,
         write_mean: 12_000,
-        window: WINDOW,
+        window: DEDUPLICATION_WINDOW,
         share_fetches: true,
         seed,
     }
@@ -321,7 +321,7 @@
 pub fn clients(
     nodes: Vec<SocketAddr>,
     memcached: Vec<SocketAddr>,
-    speech: Speech,
+    protocols: ProtocolOptions,
     seed: u64,
     scenario: &Scenario,
     until: Micros,
@@ -329,8 +329,8 @@
     clients::Settings {
         nodes,
         memcached,
-        speech: speech.clients,
-        short_names: speech != Speech::default(),
+        protocols: protocols.clients,
+        short_names: protocols != ProtocolOptions::default(),
         classes: CLASSES
             .iter()
             .map(|c| clients::Class {
--- a/crates/testbed/src/virtual_fleet.rs
+++ b/crates/testbed/src/virtual_fleet.rs
@@ -13,14 +13,14 @@
 use sloewick_node::transport::PendingSignals as Signals;
 use sloewick_node::{DecisionEngine, Node};
 
-use crate::checker::observations::{Announced, Event, Names, Observation, Recorder};
+use crate::checker::observations::{AnnouncedState, Event, Observation, Recorder, RequestNames};
 use crate::checker::{Checker, DisconnectStatistics, Rule, Violation};
 use crate::commands::CommandQueue;
 use crate::emulators::cache_server::{self, CacheServer};
-use crate::emulators::clients::{self, Crowd};
+use crate::emulators::clients::{self, ClientPool};
 use crate::emulators::discovery::{self, Discovery, Listed, Roster};
 use crate::emulators::idle_clients::Idle;
-use crate::emulators::misbehaving_clients::Rude;
+use crate::emulators::misbehaving_clients::MisbehavingClients;
 use crate::emulators::origin::{self, Origin};
 use crate::faults::environment::FaultEnvironment;
 use crate::faults::scenario::Scenario;
@@ -30,7 +30,7 @@
 use crate::port::Actor;
 use crate::report::Report;
 use crate::rng::Rng;
-use crate::site::{self, Speech};
+use crate::site::{self, ProtocolOptions};
 
 /// Descriptors of a stand-in; enough that only nodes run short.
 const MANY: usize = 100_000;
@@ -64,9 +64,9 @@
     /// Most descriptors that a node held at once.
     pub descriptors: usize,
     /// Requests whose client left, and what was sent on for them later than may be.
-    pub left: DisconnectStatistics,
+    pub disconnects: DisconnectStatistics,
     /// The most that a cold box was sent, as a part of what it bears and chance.
-    pub fullest: f64,
+    pub max_cold_load: f64,
 }
 
 /// What a run may be told.
@@ -74,9 +74,9 @@
     pub watch: Option<Watch>,
     pub wrap: Option<Wrap>,
     pub delay: Delay,
-    pub speech: Speech,
+    pub protocols: ProtocolOptions,
     /// Cold boxes take whatever they are sent: the judge alone tells what would have been too much.
-    pub sturdy: bool,
+    pub cold_servers_never_fail: bool,
     pub defect: Defect,
 }
 
@@ -102,16 +102,16 @@
             watch: None,
             wrap: None,
             delay,
-            speech: Speech::default(),
-            sturdy: false,
+            protocols: ProtocolOptions::default(),
+            cold_servers_never_fail: false,
             defect: Defect::default(),
         }
     }
 }
 
-struct Boxed(Box<dyn DecisionEngine>);
+struct BoxedEngine(Box<dyn DecisionEngine>);
 
-impl DecisionEngine for Boxed {
+impl DecisionEngine for BoxedEngine {
     fn handle(
         &mut self,
         now: Micros,
@@ -139,7 +139,7 @@
     }
 }
 
-struct Boxy {
+struct ServerHost {
     host: HostId,
     command_queue: CommandQueue<cache_server::ControlCommand>,
 }
@@ -148,25 +148,25 @@
 struct Site {
     hosts: Hosts,
     scenario: Scenario,
-    speech: Speech,
-    sturdy: bool,
+    protocols: ProtocolOptions,
+    cold_servers_never_fail: bool,
     defect: Defect,
     seed: u64,
     recorder: Recorder,
     nodes: Vec<HostId>,
     node_starts: Vec<u64>,
     stopping: Vec<bool>,
-    boxes: BTreeMap<usize, Boxy>,
+    servers: BTreeMap<usize, ServerHost>,
     discovery: Vec<HostId>,
     /// How often discovery has moved.
     moves: usize,
     discovery_commands: CommandQueue<discovery::ControlCommand>,
     discovery_up: bool,
     /// What changed while discovery told an old list; none while it tells what it has.
-    stale: Option<Vec<(usize, Announced)>>,
+    stale: Option<Vec<(usize, AnnouncedState)>>,
     roster: Roster,
     /// What each node held when it last ended: it starts with that.
-    held: Vec<Option<Roster>>,
+    lists_at_end: Vec<Option<Roster>>,
     origin_commands: CommandQueue<origin::ControlCommand>,
     clients_commands: CommandQueue<clients::ControlCommand>,
     misbehaving_commands: CommandQueue<f64>,
@@ -175,7 +175,7 @@
     moved: Rc<RefCell<Vec<SocketAddr>>>,
     wrap: Option<Wrap>,
     clients: HostId,
-    rude: HostId,
+    misbehaving: HostId,
     idle: HostId,
     origin_host: HostId,
 }
@@ -202,8 +202,8 @@
         EPOCH + self.hosts.now()
     }
 
-    fn tell(&self, event: Event) {
-        self.recorder.tell(self.unix(), event);
+    fn record(&self, event: Event) {
+        self.recorder.record(self.unix(), event);
     }
 
     fn run_discovery(&mut self, first_rev: i64) {
@@ -233,13 +233,13 @@
         self.discovery.push(host);
         self.discovery_up = true;
         self.fresh();
-        self.tell(Event::Reached { can: true });
+        self.record(Event::DiscoveryReachable { reachable: true });
     }
 
     /// Discovery tells what it has again.
     fn fresh(&mut self) {
-        for (at_box, told) in self.stale.take().into_iter().flatten() {
-            self.tell(Event::Had { at_box, told });
+        for (server, state) in self.stale.take().into_iter().flatten() {
+            self.record(Event::DiscoveryUpdated { server, state });
         }
     }
 
@@ -247,11 +247,11 @@
     fn report_known_servers(&self, node: usize, list: &[Listed]) {
         for listed in list {
             // A server that was running before the run began has not started.
-            if listed.told != (Announced::In { boot: 0 }) {
-                self.tell(Event::Known {
+            if listed.state != (AnnouncedState::InService { boot: 0 }) {
+                self.record(Event::KnownAtNodeStart {
                     node,
-                    at_box: listed.number,
-                    told: listed.told,
+                    server: listed.number,
+                    state: listed.state,
                 });
             }
         }
@@ -264,9 +264,9 @@
         let origin_host = world.host("origin", 0, MANY);
         world.address(origin_host, origin);
         let clients = world.host("clients", 0, MANY);
-        world.hear_ends_late(clients, options.defect.ends_late);
+        world.delay_close_notifications(clients, options.defect.ends_late);
         world.shut_new(clients, options.defect.shut_of);
-        let rude = world.host("rude", 0, MANY);
+        let misbehaving = world.host("rude", 0, MANY);
         let nodes = node_hosts(&mut world, scenario.nodes);
         // The last of the hosts that a run begins with: the others' numbers stay what they are.
         let idle = world.host("idle", 0, MANY);
@@ -276,8 +276,8 @@
         Site {
             hosts: Hosts::new(world),
             scenario: scenario.clone(),
-            speech: options.speech,
-            sturdy: options.sturdy,
+            protocols: options.protocols,
+            cold_servers_never_fail: options.cold_servers_never_fail,
             defect: options.defect,
             seed,
             recorder,
@@ -285,7 +285,7 @@
             stopping: vec![false; nodes.len()],
             moved: Rc::new(RefCell::new(discovery)),
             nodes,
-            boxes: BTreeMap::new(),
+            servers: BTreeMap::new(),
             discovery: Vec::new(),
             moves: 0,
             discovery_commands: CommandQueue::default(),
@@ -295,7 +295,7 @@
                 rev: 40,
                 list: Vec::new(),
             },
-            held: vec![None; scenario.nodes],
+            lists_at_end: vec![None; scenario.nodes],
             origin_commands: CommandQueue::default(),
             clients_commands: CommandQueue::default(),
             misbehaving_commands: CommandQueue::default(),
@@ -303,7 +303,7 @@
             origin,
             wrap: options.wrap.clone(),
             clients,
-            rude,
+            misbehaving,
             idle,
             origin_host,
         }
@@ -324,7 +324,7 @@
     /// Starts well-behaved, idle and misbehaving clients; the first send requests until this time.
     fn start_clients(&mut self, until: Micros) {
         let addresses: Vec<SocketAddr> = (0..self.scenario.nodes).map(node_address).collect();
-        let memcached: Vec<SocketAddr> = match self.speech.clients {
+        let memcached: Vec<SocketAddr> = match self.protocols.clients {
             site::Clients::Memcached | site::Clients::Both => {
                 (0..self.scenario.nodes).map(memcached_address).collect()
             }
@@ -333,33 +333,34 @@
         let set = site::clients(
             addresses.clone(),
             memcached.clone(),
-            self.speech,
+            self.protocols,
             self.seed,
             &self.scenario,
             until,
         );
-        let crowd = Crowd::new(
+        let client_pool = ClientPool::new(
             self.hosts.net(self.clients),
             set,
             self.clients_commands.clone(),
             self.recorder.clone(),
         );
-        self.hosts.place(self.clients, Box::new(crowd));
+        self.hosts.place(self.clients, Box::new(client_pool));
         let idle_actor = Idle::new(
             self.hosts.net(self.idle),
             addresses.clone(),
             self.idle_commands.clone(),
         );
         self.hosts.place(self.idle, Box::new(idle_actor));
-        let rude_actor = Rude::new(
-            self.hosts.net(self.rude),
+        let misbehaving_actor = MisbehavingClients::new(
+            self.hosts.net(self.misbehaving),
             addresses,
             memcached,
             self.seed,
             self.misbehaving_commands.clone(),
             self.recorder.clone(),
         );
-        self.hosts.place(self.rude, Box::new(rude_actor));
+        self.hosts
+            .place(self.misbehaving, Box::new(misbehaving_actor));
     }
 }
 
@@ -384,9 +385,10 @@
             .borrow_mut()
             .host(&format!("box-{number}"), zone, MANY);
         self.hosts.world.borrow_mut().address(host, at);
-        let memcached = self.speech.box_speaks_memcached(number, &self.scenario);
-        let mut set = site::cache_box(number, at, self.origin, cold, memcached, self.seed);
-        if self.sturdy {
+        let memcached = self.protocols.server_uses_memcached(number, &self.scenario);
+        let mut set =
+            site::cache_server_settings(number, at, self.origin, cold, memcached, self.seed);
+        if self.cold_servers_never_fail {
             set.fall_multiple = 0.0;
         }
         let command_queue = CommandQueue::default();
@@ -397,11 +399,11 @@
             self.recorder.clone(),
         ) {
             Ok(actor) => self.hosts.place(host, Box::new(actor)),
-            Err(e) => self.say(format!("box {number} does not start: {e}")),
+            Err(e) => self.log(format!("box {number} does not start: {e}")),
         }
-        self.boxes.insert(
+        self.servers.insert(
             number,
-            Boxy {
+            ServerHost {
                 host,
                 command_queue,
             },
@@ -409,29 +411,31 @@
     }
 
     fn kill_server(&mut self, number: usize) {
-        let Some(host) = self.boxes.get(&number).map(|b| b.host) else {
+        let Some(host) = self.servers.get(&number).map(|b| b.host) else {
             return;
         };
         self.hosts.come_back(host);
-        self.tell(Event::BoxEnded { at_box: number });
+        self.record(Event::ServerEnded { server: number });
         self.hosts.end(host);
     }
 
     fn command_server(&mut self, number: usize, command: cache_server::ControlCommand) {
         if let Some((host, command_queue)) = self
-            .boxes
+            .servers
             .get(&number)
             .map(|b| (b.host, b.command_queue.clone()))
         {
-            command_queue.give(command);
+            command_queue.push(command);
             self.hosts.wake(host);
         }
     }
 
-    fn listed(&self, number: usize, place: usize, zone: usize, told: Announced) -> Listed {
-        let told = match told {
+    fn listed(&self, number: usize, place: usize, zone: usize, state: AnnouncedState) -> Listed {
+        let state = match state {
             // Boots are told in Unix time; 0 stands for long ago.
-            Announced::In { boot } if boot > 0 => Announced::In { boot: EPOCH + boot },
+            AnnouncedState::InService { boot } if boot > 0 => {
+                AnnouncedState::InService { boot: EPOCH + boot }
+            }
             other => other,
         };
         Listed {
@@ -439,8 +443,8 @@
             uid: format!("s-{number:04}"),
             endpoint: box_address(place),
             zone: site::ZONES[zone % 2].to_string(),
-            kind: self.speech.model(number, &self.scenario).to_string(),
-            told,
+            kind: self.protocols.model(number, &self.scenario).to_string(),
+            state,
         }
     }
 
@@ -448,21 +452,23 @@
         if let discovery::ControlCommand::Change(listed) = &command {
             self.roster.change(listed);
             match &mut self.stale {
-                Some(changed) => changed.push((listed.number, listed.told)),
-                None => self.tell(Event::Had {
-                    at_box: listed.number,
-                    told: listed.told,
+                Some(changed) => changed.push((listed.number, listed.state)),
+                None => self.record(Event::DiscoveryUpdated {
+                    server: listed.number,
+                    state: listed.state,
                 }),
             }
         }
         if self.discovery_up {
             match &command {
-                discovery::ControlCommand::Fail(fail) => self.tell(Event::Reached { can: !fail }),
+                discovery::ControlCommand::Fail(fail) => {
+                    self.record(Event::DiscoveryReachable { reachable: !fail });
+                }
                 discovery::ControlCommand::Stale(true) => drop(self.stale.get_or_insert_default()),
                 discovery::ControlCommand::Stale(false) => self.fresh(),
                 _ => {}
             }
-            self.discovery_commands.give(command);
+            self.discovery_commands.push(command);
             if let Some(host) = self.discovery.last().copied() {
                 self.hosts.wake(host);
             }
@@ -470,31 +476,31 @@
     }
 
     fn command_origin(&mut self, command: origin::ControlCommand) {
-        self.origin_commands.give(command);
+        self.origin_commands.push(command);
         self.hosts.wake(self.origin_host);
     }
 
     fn command_clients(&mut self, command: clients::ControlCommand) {
-        self.clients_commands.give(command);
+        self.clients_commands.push(command);
         self.hosts.wake(self.clients);
     }
 
-    fn rude(&mut self, rate: f64) {
-        self.misbehaving_commands.give(rate);
-        self.hosts.wake(self.rude);
+    fn set_misbehaving_client_rate(&mut self, rate: f64) {
+        self.misbehaving_commands.push(rate);
+        self.hosts.wake(self.misbehaving);
     }
 
     fn kill_node(&mut self, node: usize) {
         if self.hosts.has(self.nodes[node]) {
-            self.held[node] = Some(self.roster.clone());
-            self.tell(Event::NodeEnded { node, killed: true });
+            self.lists_at_end[node] = Some(self.roster.clone());
+            self.record(Event::NodeEnded { node, killed: true });
             self.hosts.end(self.nodes[node]);
         }
     }
 
     fn stop_node(&mut self, node: usize) {
-        self.held[node] = Some(self.roster.clone());
-        self.tell(Event::NodeStopping { node });
+        self.lists_at_end[node] = Some(self.roster.clone());
+        self.record(Event::NodeStopping { node });
         self.stopping[node] = true;
         self.hosts.world.borrow_mut().signal(
             self.nodes[node],
@@ -508,15 +514,15 @@
     fn start_node(&mut self, node: usize) {
         let host = self.nodes[node];
         self.hosts.end(host);
-        self.hosts.world.borrow_mut().revive(host);
+        self.hosts.world.borrow_mut().restart_host(host);
         self.node_starts[node] += 1;
         self.stopping[node] = false;
-        let mut rng = Rng::part(
+        let mut rng = Rng::stream(
             self.seed,
             "node",
             node * 1000 + self.node_starts[node] as usize,
         );
-        let known = self.held[node]
+        let known = self.lists_at_end[node]
             .take()
             .unwrap_or_else(|| self.roster.clone());
         let at = discovery_address(self.moves, node);
@@ -525,7 +531,7 @@
             &self.scenario,
             node_address(node),
             at,
-            rng.word(),
+            rng.next_u64(),
             (known.rev, &known.list),
         );
         self.moved.borrow_mut()[node] = at;
@@ -536,19 +542,22 @@
                 config
             })
         });
-        self.tell(Event::NodeStarted { node });
+        self.record(Event::NodeStarted { node });
         self.report_known_servers(node, &known.list);
         let mut config = match config::parse(&text) {
             Ok(config) => config,
-            Err(bad) => return self.say(format!("node {node}: {bad}")),
+            Err(bad) => return self.log(format!("node {node}: {bad}")),
         };
-        if let Err(why) = self.speech.configure(&mut config, memcached_address(node)) {
-            return self.say(format!("node {node}: {why}"));
+        if let Err(why) = self
+            .protocols
+            .configure(&mut config, memcached_address(node))
+        {
+            return self.log(format!("node {node}: {why}"));
         }
         let wrap = self.wrap.clone();
         let made: Result<Box<dyn Actor>, _> = match wrap {
             Some(wrap) => Node::with_engine(config, self.hosts.net(host), source, |balancer| {
-                Boxed(wrap(node, balancer))
+                BoxedEngine(wrap(node, balancer))
             })
             .map(|n| Box::new(n) as Box<dyn Actor>),
             None => Node::new(config, self.hosts.net(host), source)
@@ -559,7 +568,7 @@
                 self.hosts.place_late(host, actor, self.defect.starts_late);
             }
             Ok(actor) => self.hosts.place(host, actor),
-            Err(e) => self.say(format!("node {node} does not start: {e}")),
+            Err(e) => self.log(format!("node {node} does not start: {e}")),
         }
     }
 
@@ -568,7 +577,7 @@
             return;
         }
         self.discovery_commands
-            .give(discovery::ControlCommand::Retire(1_500_000));
+            .push(discovery::ControlCommand::Retire(1_500_000));
         if let Some(old) = self.discovery.last().copied() {
             self.hosts.wake(old);
         }
@@ -591,7 +600,7 @@
     fn kill_discovery(&mut self) {
         self.discovery_up = false;
         self.fresh();
-        self.tell(Event::Reached { can: false });
+        self.record(Event::DiscoveryReachable { reachable: false });
         if let Some(host) = self.discovery.last().copied() {
             self.hosts.end(host);
         }
@@ -605,65 +614,69 @@
         self.run_discovery(self.roster.rev);
     }
 
-    fn say(&mut self, text: String) {
-        self.tell(Event::Fault(text));
+    fn log(&mut self, text: String) {
+        self.record(Event::Fault(text));
     }
 
     fn pause_node(&mut self, node: usize) {
-        self.tell(Event::NodePaused { node });
+        self.record(Event::NodePaused { node });
         self.hosts.pause(self.nodes[node]);
     }
 
     fn resume_node(&mut self, node: usize) {
-        self.tell(Event::NodeResumed { node });
+        self.record(Event::NodeResumed { node });
         self.hosts.resume(self.nodes[node]);
     }
 
     fn isolate_server(&mut self, number: usize) {
-        let Some(host) = self.boxes.get(&number).map(|b| b.host) else {
+        let Some(host) = self.servers.get(&number).map(|b| b.host) else {
             return;
         };
-        self.hosts.vanish(host);
+        self.hosts.isolate(host);
     }
 
-    fn cut(&mut self, number: usize, from_box: bool, cut: bool) {
-        let Some(host) = self.boxes.get(&number).map(|b| b.host) else {
+    fn cut_link(&mut self, number: usize, from_server: bool, cut: bool) {
+        let Some(host) = self.servers.get(&number).map(|b| b.host) else {
             return;
         };
         for node in self.nodes.clone() {
-            let (from, to) = if from_box { (host, node) } else { (node, host) };
+            let (from, to) = if from_server {
+                (host, node)
+            } else {
+                (node, host)
+            };
             self.hosts.world.borrow_mut().cut(from, to, cut);
         }
     }
 
-    fn reset_connections(&mut self, part: f64) {
-        let boxes: Vec<HostId> = self.boxes.values().map(|b| b.host).collect();
+    fn reset_connections(&mut self, fraction: f64) {
+        let servers: Vec<HostId> = self.servers.values().map(|b| b.host).collect();
         self.hosts
             .world
             .borrow_mut()
-            .reset_some(&self.nodes, &boxes, part);
+            .reset_some(&self.nodes, &servers, fraction);
     }
 
-    fn refuse(&mut self, number: usize, refuses: bool) {
-        if let Some(host) = self.boxes.get(&number).map(|b| b.host) {
+    fn set_refuses_connections(&mut self, number: usize, refuses: bool) {
+        if let Some(host) = self.servers.get(&number).map(|b| b.host) {
             self.hosts.world.borrow_mut().set_refuses(host, refuses);
         }
     }
 
-    fn partial(&mut self, part: f64) {
-        let mut hosts: Vec<HostId> = self.boxes.values().map(|b| b.host).collect();
+    fn set_partial_writes(&mut self, fraction: f64) {
+        let mut hosts: Vec<HostId> = self.servers.values().map(|b| b.host).collect();
         hosts.extend(&self.nodes);
         for host in hosts {
-            self.hosts.world.borrow_mut().set_partial(host, part);
+            self.hosts.world.borrow_mut().set_partial(host, fraction);
         }
     }
 
-    fn idle(&mut self, count: usize) {
-        self.idle_commands.give(count);
+    fn set_idle_clients(&mut self, count: usize) {
+        self.idle_commands.push(count);
         self.hosts.wake(self.idle);
     }
 
-    fn skew(&mut self, node: usize, by: Micros) {
+    fn skew_clock(&mut self, node: usize, by: Micros) {
         self.hosts.world.borrow_mut().set_skew(self.nodes[node], by);
     }
 }
@@ -675,7 +688,7 @@
     pub checker: Checker,
     pub report: Report,
     observations: Receiver<Observation>,
-    names: Names,
+    names: RequestNames,
     seen: u64,
     digest: u64,
     watch: Option<Watch>,
@@ -698,10 +711,10 @@
         Fleet {
             site,
             scheduler,
-            checker: Checker::new(site::figures(options.delay.most())),
+            checker: Checker::new(site::requirements(options.delay.most())),
             report: site::report(),
             observations,
-            names: Names::default(),
+            names: RequestNames::default(),
             seen: 0,
             digest: 0xcbf2_9ce4_8422_2325,
             watch: options.watch,
@@ -738,12 +751,12 @@
     /// A host's process has ended by itself.
     fn ended(&mut self, host: HostId) {
         if let Some(node) = self.site.nodes.iter().position(|h| *h == host) {
-            self.site.tell(Event::NodeEnded {
+            self.site.record(Event::NodeEnded {
                 node,
                 killed: false,
             });
             if !self.site.stopping[node] {
-                self.found(Rule::NoneLost, format!("node {node} ended unasked"));
+                self.found(Rule::NoRequestLost, format!("node {node} ended unasked"));
             }
         }
     }
@@ -771,9 +784,9 @@
         }
         while let Ok(observation) = self.observations.try_recv() {
             self.seen += 1;
-            let observation = self.names.see(observation);
+            let observation = self.names.resolve(observation);
             self.checker.observe(&observation);
-            self.report.see(&observation);
+            self.report.observe(&observation);
             let text = observation.to_string();
             for byte in text.bytes() {
                 self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
@@ -807,18 +820,18 @@
             descriptors = descriptors.max(peak);
             if self.site.hosts.has(host) {
                 self.found(
-                    Rule::GoodManners,
+                    Rule::ProtocolAndLifecycle,
                     format!("node {node} was told to end and has not"),
                 );
             } else if open > 0 {
                 self.found(
-                    Rule::GoodManners,
+                    Rule::ProtocolAndLifecycle,
                     format!("node {node} left {open} descriptors open"),
                 );
             }
             if peak > most {
                 self.found(
-                    Rule::GoodManners,
+                    Rule::ProtocolAndLifecycle,
                     format!("node {node} held {peak} of {most} descriptors"),
                 );
             }
@@ -831,8 +844,8 @@
             observations: self.seen,
             played: now,
             descriptors,
-            left: self.checker.statistics().disconnects,
-            fullest: self.checker.statistics().max_cold_load,
+            disconnects: self.checker.statistics().disconnects,
+            max_cold_load: self.checker.statistics().max_cold_load,
         }
     }
 }
@@ -849,12 +862,12 @@
     seed: u64,
     rule: Rule,
     wrap: Option<&Wrap>,
-    speech: Speech,
+    protocols: ProtocolOptions,
 ) -> Scenario {
     let first = |s: &Scenario| {
         let options = Options {
             wrap: wrap.cloned(),
-            speech,
+            protocols,
             ..Options::default()
         };
         let outcome = play(s, seed, options);
--- a/crates/testbed/tests/checker.rs
+++ b/crates/testbed/tests/checker.rs
@@ -1,6 +1,8 @@
 //! The judge on histories written by hand: for each rule some that keep it and some that break it.
 
-use sloewick_testbed::checker::observations::{Announced, Answer, Event, Fate, Id, Observation};
+use sloewick_testbed::checker::observations::{
+    AnnouncedState, Answer, AttemptOutcome, Event, Id, Observation,
+};
 use sloewick_testbed::checker::{Checker, Rule};
 use sloewick_testbed::site;
 
@@ -15,7 +17,7 @@
 
 /// What the judge finds in a history of (milliseconds, what), looked at until a minute is over.
 fn rules(history: &[(i64, Event)]) -> Vec<Rule> {
-    let mut checker = Checker::new(site::figures(WAY));
+    let mut checker = Checker::new(site::requirements(WAY));
     for (ms, what) in history {
         checker.observe(&Observation {
             at: ms * 1000,
@@ -31,48 +33,51 @@
 }
 
 fn asked_again(name: &str, class: usize, first: &str) -> Event {
-    let idem = (class == SET).then(|| id(&format!("key-{first}")));
+    let idempotency_key = (class == SET).then(|| id(&format!("key-{first}")));
     let budget = if class == READ { 400_000 } else { 2_000_000 };
-    Event::Asked {
+    Event::RequestSent {
         id: id(name),
         node: 0,
         class,
         tenant: 0,
         key: 1,
-        idem,
+        idempotency_key,
         first: id(first),
         budget,
     }
 }
 
-fn attempt(name: &str, number: u64, at_box: usize, ms: i64) -> (i64, Event) {
+fn attempt(name: &str, number: u64, server: usize, ms: i64) -> (i64, Event) {
     let what = Event::Attempt {
         id: id(name),
         attempt: number,
-        at_box,
+        server,
         first_byte: ms * 1000,
-        idem: None,
+        idempotency_key: None,
         work: 10_000,
     };
     (ms, what)
 }
 
-fn fate(name: &str, number: u64, fate: Fate) -> Event {
-    Event::Fate {
+fn outcome(name: &str, number: u64, outcome: AttemptOutcome) -> Event {
+    Event::AttemptOutcome {
         id: id(name),
         attempt: number,
-        fate,
+        outcome,
     }
 }
 
-fn answered(name: &str, how: Answer) -> Event {
-    Event::Answered { id: id(name), how }
+fn answered(name: &str, answer: Answer) -> Event {
+    Event::Answered {
+        id: id(name),
+        answer,
+    }
 }
 
 fn effect(name: &str, key: Option<&str>) -> Event {
     Event::Effect {
         id: id(name),
-        idem: key.map(id),
+        idempotency_key: key.map(id),
     }
 }
 
@@ -80,7 +85,7 @@
     vec![
         (10, asked("a", READ)),
         attempt("a", 1, 0, 12),
-        (30, fate("a", 1, Fate::Ran)),
+        (30, outcome("a", 1, AttemptOutcome::Executed)),
         (32, answered("a", Answer::Served)),
     ]
 }
@@ -101,7 +106,10 @@
         []
     );
     assert_eq!(
-        rules(&[(0, asked("a", READ)), (50, Event::Left { id: id("a") })]),
+        rules(&[
+            (0, asked("a", READ)),
+            (50, Event::ClientDisconnected { id: id("a") })
+        ]),
         []
     );
     let killed = Event::NodeEnded {
@@ -114,9 +122,9 @@
     let history = [
         (0, asked("a", ACK)),
         attempt("a", 1, 0, 2),
-        (3, fate("a", 1, Fate::TurnedAway)),
+        (3, outcome("a", 1, AttemptOutcome::Rejected)),
         attempt("a", 2, 1, 6),
-        (20, fate("a", 2, Fate::Ran)),
+        (20, outcome("a", 2, AttemptOutcome::Executed)),
         (20, effect("a", None)),
         (22, answered("a", Answer::Served)),
     ];
@@ -126,16 +134,16 @@
         (0, asked("a", SET)),
         attempt("a", 1, 0, 2),
         (30, effect("a", Some("key-a"))),
-        (31, fate("a", 1, Fate::Cut)),
+        (31, outcome("a", 1, AttemptOutcome::Interrupted)),
         attempt("a", 2, 1, 300),
         (
             320,
-            Event::Dropped {
+            Event::RepeatDropped {
                 id: id("a"),
-                idem: id("key-a"),
+                idempotency_key: id("key-a"),
             },
         ),
-        (320, fate("a", 2, Fate::Ran)),
+        (320, outcome("a", 2, AttemptOutcome::Executed)),
         (322, answered("a", Answer::Served)),
     ];
     assert_eq!(rules(&history), []);
@@ -143,7 +151,7 @@
 
 #[test]
 fn lost_requests_are_seen() {
-    let lost = [Rule::NoneLost];
+    let lost = [Rule::NoRequestLost];
     assert_eq!(rules(&[(0, asked("a", READ))]), lost, "never answered");
     assert_eq!(
         rules(&[(0, asked("a", READ)), (470, answered("a", Answer::Failed))]),
@@ -166,7 +174,7 @@
         lost,
         "asked by nobody"
     );
-    let unasked = Event::Unasked {
+    let unasked = Event::UnsolicitedBytes {
         node: 0,
         bytes: "+OK".into(),
     };
@@ -181,7 +189,7 @@
     );
     let ended = [
         (0, asked("a", READ)),
-        (9, answered("a", Answer::Ended { part: false })),
+        (9, answered("a", Answer::Ended { partial: false })),
     ];
     assert_eq!(rules(&ended), lost, "closed on");
     let resent = [
@@ -201,7 +209,7 @@
 #[test]
 fn a_value_that_breaks_off_has_failed_and_is_not_lost() {
     let mut history = served_read();
-    history[3].1 = answered("a", Answer::Ended { part: true });
+    history[3].1 = answered("a", Answer::Ended { partial: true });
     assert_eq!(rules(&history), []);
 }
 
@@ -214,7 +222,7 @@
             (0, asked(name, class)),
             attempt(name, 1, 0, 2),
             (30, effect(name, key.as_deref())),
-            (31, fate(name, 1, Fate::Ran)),
+            (31, outcome(name, 1, AttemptOutcome::Executed)),
         ]
     };
     let mut refused = ran("a", ACK);
@@ -223,7 +231,7 @@
     let mut cut = vec![
         (0, asked("a", ACK)),
         attempt("a", 1, 0, 2),
-        (9, fate("a", 1, Fate::Cut)),
+        (9, outcome("a", 1, AttemptOutcome::Interrupted)),
     ];
     cut.push((40, answered("a", Answer::Busy(None))));
     assert_eq!(rules(&cut), twice, "refused what may have run");
@@ -238,7 +246,7 @@
     let late = [
         (0, asked("a", ACK)),
         attempt("a", 1, 0, 2),
-        (3, fate("a", 1, Fate::TurnedAway)),
+        (3, outcome("a", 1, AttemptOutcome::Rejected)),
         (9, answered("a", Answer::Busy(None))),
         (50, effect("a", None)),
     ];
@@ -247,7 +255,7 @@
     other.push((90, answered("a", Answer::Failed)));
     other.push((100, asked_again("b", ACK, "a")));
     other.push(attempt("b", 2, 1, 102));
-    other.push((120, fate("b", 2, Fate::Ran)));
+    other.push((120, outcome("b", 2, AttemptOutcome::Executed)));
     other.push((120, effect("b", None)));
     other.push((122, answered("b", Answer::Served)));
     assert_eq!(rules(&other), twice, "the same wish by another try");
@@ -263,35 +271,38 @@
 
 #[test]
 fn drains_that_are_not_kept_are_seen() {
-    let told = |told: Announced| Event::Told {
+    let announced = |state: AnnouncedState| Event::AnnouncementSent {
         node: 0,
-        at_box: 3,
-        told,
+        server: 3,
+        state,
     };
-    let sent = |told_what: Announced, ms: i64| {
+    let sent = |told_what: AnnouncedState, ms: i64| {
         let mut history = vec![
-            (1_000, told(told_what)),
+            (1_000, announced(told_what)),
             (ms - 2, asked("a", READ)),
             attempt("a", 1, 3, ms),
         ];
-        history.push((ms + 20, fate("a", 1, Fate::Ran)));
+        history.push((ms + 20, outcome("a", 1, AttemptOutcome::Executed)));
         history.push((ms + 22, answered("a", Answer::Served)));
         rules(&history)
     };
-    assert_eq!(sent(Announced::Draining, 3_050), []);
-    assert_eq!(sent(Announced::In { boot: 0 }, 9_000), []);
-    assert_eq!(sent(Announced::Draining, 3_060), [Rule::DrainsKept]);
-    assert_eq!(sent(Announced::Gone, 8_000), [Rule::DrainsKept]);
+    assert_eq!(sent(AnnouncedState::Draining, 3_050), []);
+    assert_eq!(sent(AnnouncedState::InService { boot: 0 }, 9_000), []);
+    assert_eq!(
+        sent(AnnouncedState::Draining, 3_060),
+        [Rule::DrainRespected]
+    );
+    assert_eq!(sent(AnnouncedState::Removed, 8_000), [Rule::DrainRespected]);
     // Told again, later: the first time counts.
     let again = [
-        (1_000, told(Announced::Draining)),
-        (2_500, told(Announced::Gone)),
+        (1_000, announced(AnnouncedState::Draining)),
+        (2_500, announced(AnnouncedState::Removed)),
         (3_098, asked("a", READ)),
         attempt("a", 1, 3, 3_100),
-        (3_120, fate("a", 1, Fate::Ran)),
+        (3_120, outcome("a", 1, AttemptOutcome::Executed)),
         (3_122, answered("a", Answer::Served)),
     ];
-    assert_eq!(rules(&again), [Rule::DrainsKept]);
+    assert_eq!(rules(&again), [Rule::DrainRespected]);
 }
 
 #[test]
@@ -299,8 +310,8 @@
     let fall = |knew: bool, node_of_rest: usize| {
         let mut history: Vec<(i64, Event)> = vec![(
             0,
-            Event::BoxStarted {
-                at_box: 3,
+            Event::ServerStarted {
+                server: 3,
                 cold: true,
                 speed: 1.0,
             },
@@ -308,44 +319,44 @@
         if knew {
             history.push((
                 1,
-                Event::Told {
+                Event::AnnouncementSent {
                     node: 0,
-                    at_box: 3,
-                    told: Announced::In { boot: 1 },
+                    server: 3,
+                    state: AnnouncedState::InService { boot: 1 },
                 },
             ));
         }
         for n in 0..30i64 {
             let name = format!("r{n}");
             let mut ask = asked(&name, READ);
-            if let (Event::Asked { node, .. }, true) = (&mut ask, n % 3 == 0) {
+            if let (Event::RequestSent { node, .. }, true) = (&mut ask, n % 3 == 0) {
                 *node = node_of_rest;
             }
             history.push((100 + n, ask));
             history.push(attempt(&name, n as u64, 3, 102 + n));
-            history.push((103 + n, fate(&name, n as u64, Fate::TurnedAway)));
+            history.push((103 + n, outcome(&name, n as u64, AttemptOutcome::Rejected)));
             history.push((104 + n, answered(&name, Answer::Busy(None))));
         }
         history.sort_by_key(|(ms, _): &(i64, Event)| *ms);
-        history.push((500, Event::Fell { at_box: 3 }));
+        history.push((500, Event::ServerOverloaded { server: 3 }));
         rules(&history)
     };
-    assert_eq!(fall(true, 0), [Rule::NoColdBoxPushedOver]);
+    assert_eq!(fall(true, 0), [Rule::NoColdServerOverloaded]);
     // Two thirds are enough, and nobody who was not told is to blame.
-    assert_eq!(fall(true, 1), [Rule::NoColdBoxPushedOver]);
+    assert_eq!(fall(true, 1), [Rule::NoColdServerOverloaded]);
     assert_eq!(fall(false, 1), []);
 }
 
 /// The violations when discovery announces nothing to the node, and an attempt leaves at this time.
 fn sent(before: &[(i64, Event)], ms: i64) -> Vec<Rule> {
     let mut history = vec![
-        (0, Event::Reached { can: true }),
+        (0, Event::DiscoveryReachable { reachable: true }),
         (0, Event::NodeStarted { node: 0 }),
     ];
     history.extend_from_slice(before);
     history.extend([(ms - 2, asked("a", READ)), attempt("a", 1, 3, ms)]);
     history.extend([
-        (ms + 20, fate("a", 1, Fate::Ran)),
+        (ms + 20, outcome("a", 1, AttemptOutcome::Executed)),
         (ms + 22, answered("a", Answer::Served)),
     ]);
     history.sort_by_key(|(at, _)| *at);
@@ -354,26 +365,19 @@
 
 #[test]
 fn a_change_counts_as_told_six_seconds_after_discovery_had_it_and_could_be_reached() {
-    let had = |told: Announced| Event::Had { at_box: 3, told };
-    let reached = |can: bool| Event::Reached { can };
-    let broken = [Rule::DrainsKept];
-    let drains = (1_000, had(Announced::Draining));
+    let had = |state: AnnouncedState| Event::DiscoveryUpdated { server: 3, state };
+    let reached = |reachable: bool| Event::DiscoveryReachable { reachable };
+    let broken = [Rule::DrainRespected];
+    let drains = (1_000, had(AnnouncedState::Draining));
     // 6 s and the grace of 2.05 s.
     assert_eq!(sent(std::slice::from_ref(&drains), 9_050), []);
     assert_eq!(sent(std::slice::from_ref(&drains), 9_060), broken);
-    assert_eq!(sent(&[(1_000, had(Announced::In { boot: 0 }))], 20_000), []);
+    let started = had(AnnouncedState::InService { boot: 0 });
+    assert_eq!(sent(&[(1_000, started.clone())], 20_000), []);
     // That it is gone later is no news, and that it is told in service again is.
-    assert_eq!(
-        sent(&[drains.clone(), (5_000, had(Announced::Gone))], 9_060),
-        broken
-    );
-    assert_eq!(
-        sent(
-            &[drains.clone(), (5_000, had(Announced::In { boot: 0 }))],
-            9_060
-        ),
-        []
-    );
+    let removed = had(AnnouncedState::Removed);
+    assert_eq!(sent(&[drains.clone(), (5_000, removed)], 9_060), broken);
+    assert_eq!(sent(&[drains.clone(), (5_000, started)], 9_060), []);
     // While discovery is down the node learns nothing; moved, it is reached all along.
     let down = [drains.clone(), (4_000, reached(false))];
     assert_eq!(sent(&down, 30_000), []);
@@ -391,7 +395,7 @@
     // Nor can a process know more that started or stood still meanwhile, and what its list said it knows at once.
     let anew = [
         (3_000, Event::NodeStarted { node: 0 }),
-        (3_001, Event::ReadyEvent { node: 0 }),
+        (3_001, Event::NodeReady { node: 0 }),
     ];
     assert_eq!(sent(&[&[drains.clone()][..], &anew].concat(), 11_050), []);
     assert_eq!(
@@ -404,10 +408,10 @@
     ];
     assert_eq!(sent(&[&[drains.clone()][..], &still].concat(), 12_050), []);
     assert_eq!(sent(&[&[drains][..], &still].concat(), 12_060), broken);
-    let known = Event::Known {
+    let known = Event::KnownAtNodeStart {
         node: 0,
-        at_box: 3,
-        told: Announced::Draining,
+        server: 3,
+        state: AnnouncedState::Draining,
     };
     assert_eq!(sent(&[(1_000, known.clone())], 3_050), []);
     assert_eq!(sent(&[(1_000, known)], 3_060), broken);
@@ -417,8 +421,8 @@
 fn poured(count: i64, of_ten: i64, begin: i64, before: &[(i64, Event)]) -> Vec<Rule> {
     let mut history: Vec<(i64, Event)> = vec![(
         0,
-        Event::BoxStarted {
-            at_box: 3,
+        Event::ServerStarted {
+            server: 3,
             cold: true,
             speed: 1.0,
         },
@@ -427,12 +431,12 @@
     for n in 0..count {
         let (name, at) = (format!("r{n}"), begin + n / 10);
         let mut ask = asked(&name, READ);
-        if let Event::Asked { node, .. } = &mut ask {
+        if let Event::RequestSent { node, .. } = &mut ask {
             *node = usize::from(n % 10 >= of_ten);
         }
         history.push((at, ask));
         history.push(attempt(&name, n as u64, 3, at));
-        history.push((at, fate(&name, n as u64, Fate::TurnedAway)));
+        history.push((at, outcome(&name, n as u64, AttemptOutcome::Rejected)));
         history.push((at, answered(&name, Answer::Busy(None))));
     }
     history.sort_by_key(|(ms, _): &(i64, Event)| *ms);
@@ -441,43 +445,46 @@
 
 #[test]
 fn a_cold_box_is_pushed_over_by_the_sum_of_all_that_it_is_sent() {
-    let told = |node: usize| {
+    let announced = |node: usize| {
         (
             1,
-            Event::Told {
+            Event::AnnouncementSent {
                 node,
-                at_box: 3,
-                told: Announced::In { boot: 1 },
+                server: 3,
+                state: AnnouncedState::InService { boot: 1 },
             },
         )
     };
-    let both = [told(0), told(1)];
-    let broken = [Rule::NoColdBoxPushedOver];
+    let both = [announced(0), announced(1)];
+    let broken = [Rule::NoColdServerOverloaded];
     // A second after its start it has 0.166 of its capacity, and bears 2.5 times that in 2 s: 59.4 reads of 14 ms, and
     // 17.4 by chance.
     assert_eq!(poured(76, 5, 1_000, &both), []);
     assert_eq!(poured(78, 5, 1_000, &both), broken, "only once");
     // It is laid to those who had been told, where they sent two thirds.
-    assert_eq!(poured(78, 7, 1_000, &[told(0)]), broken);
-    assert_eq!(poured(78, 6, 1_000, &[told(0)]), []);
+    assert_eq!(poured(78, 7, 1_000, &[announced(0)]), broken);
+    assert_eq!(poured(78, 6, 1_000, &[announced(0)]), []);
     // Known from the list that a process began with, or told 6 s after discovery had it.
     let known = [0, 1].map(|node| {
         (
             1,
-            Event::Known {
+            Event::KnownAtNodeStart {
                 node,
-                at_box: 3,
-                told: Announced::In { boot: 1 },
+                server: 3,
+                state: AnnouncedState::InService { boot: 1 },
             },
         )
     });
     assert_eq!(poured(78, 5, 1_000, &known), broken);
     let had = |ms: i64| {
-        let had = Event::Had {
-            at_box: 3,
-            told: Announced::In { boot: 1 },
+        let had = Event::DiscoveryUpdated {
+            server: 3,
+            state: AnnouncedState::InService { boot: 1 },
         };
-        [(0, Event::Reached { can: true }), (ms, had)]
+        [
+            (0, Event::DiscoveryReachable { reachable: true }),
+            (ms, had),
+        ]
     };
     // At 8 s it bears 150.3 and 26.5 by chance.
     assert_eq!(poured(190, 5, 8_000, &had(1_000)), broken);
@@ -496,13 +503,13 @@
             history.push((0, Event::NodeStarted { node }));
             history.push((500, Event::NodeEnded { node, killed: true }));
             history.push((1_000, Event::NodeStarted { node }));
-            history.extend(took.map(|took| (1_000 + took, Event::ReadyEvent { node })));
+            history.extend(took.map(|took| (1_000 + took, Event::NodeReady { node })));
         }
         history.extend_from_slice(more);
         history.sort_by_key(|(at, _)| *at);
         rules(&history)
     };
-    let late = [Rule::GoodManners];
+    let late = [Rule::ProtocolAndLifecycle];
     assert_eq!(started(&[Some(9_900); 10], &[]), []);
     assert_eq!(started(&[Some(10_100)], &[]), late);
     assert_eq!(started(&[None], &[]), late);
@@ -521,11 +528,11 @@
 
 #[test]
 fn bad_manners_are_seen() {
-    let left = Event::RudeLeft {
+    let left = Event::MisbehavingClientIgnored {
         node: 0,
         what: "noise".into(),
     };
-    assert_eq!(rules(&[(0, left.clone())]), [Rule::GoodManners]);
+    assert_eq!(rules(&[(0, left.clone())]), [Rule::ProtocolAndLifecycle]);
     assert_eq!(
         rules(&[
             (
@@ -539,24 +546,24 @@
         ]),
         []
     );
-    let ended = |served: bool| Event::RudeEnded {
+    let ended = |served: bool| Event::MisbehavingClientEnded {
         node: 0,
         after: 5,
-        told: !served,
+        got_error: !served,
         served,
     };
     assert_eq!(rules(&[(0, ended(false))]), []);
-    assert_eq!(rules(&[(0, ended(true))]), [Rule::NoneLost]);
-    let syntax = Event::Syntax {
-        at_box: 1,
+    assert_eq!(rules(&[(0, ended(true))]), [Rule::NoRequestLost]);
+    let syntax = Event::MalformedCommand {
+        server: 1,
         bytes: "C.GET".into(),
     };
-    assert_eq!(rules(&[(0, syntax)]), [Rule::GoodManners]);
+    assert_eq!(rules(&[(0, syntax)]), [Rule::ProtocolAndLifecycle]);
 }
 
 #[test]
 fn a_breach_tells_what_happened_around_it() {
-    let mut checker = Checker::new(site::figures(WAY));
+    let mut checker = Checker::new(site::requirements(WAY));
     let mut history = served_read();
     history.push((40, answered("a", Answer::Failed)));
     for (ms, what) in history {
@@ -571,7 +578,7 @@
         "{text}"
     );
     assert!(
-        text.contains("0.012000 Attempt") && text.contains("at_box: 0"),
+        text.contains("0.012000 Attempt {") && text.contains("server: 0"),
         "{text}"
     );
 }
@@ -579,7 +586,7 @@
 #[test]
 fn what_is_sent_on_for_a_client_that_has_left_is_found() {
     let history = |ms: i64| {
-        let left = Event::Left { id: id("a") };
+        let left = Event::ClientDisconnected { id: id("a") };
         vec![
             (0, asked("a", READ)),
             attempt("a", 1, 0, 5),
@@ -589,17 +596,17 @@
     };
     // 0.3 s, 50 ms longer on sockets; what had begun to leave the node before is no fault.
     assert_eq!(rules(&history(440)), []);
-    assert_eq!(rules(&history(470)), [Rule::NoneLost]);
+    assert_eq!(rules(&history(470)), [Rule::NoRequestLost]);
     // A node that stood still learns of it when it goes on.
     let still = [
         (0, asked("a", READ)),
         (50, Event::NodePaused { node: 0 }),
-        (100, Event::Left { id: id("a") }),
+        (100, Event::ClientDisconnected { id: id("a") }),
         (900, Event::NodeResumed { node: 0 }),
         attempt("a", 1, 0, 910),
     ];
     assert_eq!(rules(&still), []);
-    let mut checker = Checker::new(site::figures(WAY));
+    let mut checker = Checker::new(site::requirements(WAY));
     for (ms, what) in history(470) {
         checker.observe(&Observation {
             at: ms * 1000,
@@ -622,7 +629,7 @@
     let history = |late: &[i64]| {
         let of = |(n, ms): (usize, &i64)| {
             let (name, at) = (format!("r{n}"), 1_000 * n as i64);
-            let left = Event::Left { id: id(&name) };
+            let left = Event::ClientDisconnected { id: id(&name) };
             vec![
                 (at, asked(&name, READ)),
                 (at + 10, left),
@@ -634,14 +641,14 @@
     assert_eq!(rules(&history(&[102; 8])), []);
     assert_eq!(rules(&history(&[103, 103])), []);
     assert_eq!(rules(&history(&[103, 103, 102])), []);
-    assert_eq!(rules(&history(&[103, 103, 103])), [Rule::NoneLost]);
+    assert_eq!(rules(&history(&[103, 103, 103])), [Rule::NoRequestLost]);
     assert_eq!(
         rules(&history(&[103, 200, 103, 340])),
-        [Rule::NoneLost, Rule::NoneLost]
+        [Rule::NoRequestLost, Rule::NoRequestLost]
     );
     // Beyond 0.35 s each one is, and only once.
-    assert_eq!(rules(&history(&[360])), [Rule::NoneLost]);
-    assert_eq!(rules(&history(&[103, 103, 360])), [Rule::NoneLost]);
+    assert_eq!(rules(&history(&[360])), [Rule::NoRequestLost]);
+    assert_eq!(rules(&history(&[103, 103, 360])), [Rule::NoRequestLost]);
 }
 
 #[test]
@@ -658,7 +665,7 @@
                 }
                 history.push((
                     at + 1,
-                    Event::Shut {
+                    Event::NewConnectionClosed {
                         id: id(&name),
                         node: 0,
                     },
@@ -676,7 +683,7 @@
         rules(&history)
     };
     assert_eq!(history(2, 400, &[], false), []);
-    assert_eq!(history(3, 400, &[], false), [Rule::NoneLost]);
+    assert_eq!(history(3, 400, &[], false), [Rule::NoRequestLost]);
     // Those of a node that had died are no fault, and what was sent on is lost in any number.
     assert_eq!(
         history(
@@ -693,17 +700,17 @@
         ),
         []
     );
-    assert_eq!(history(1, 400, &[], true), [Rule::NoneLost]);
+    assert_eq!(history(1, 400, &[], true), [Rule::NoRequestLost]);
 }
 
 /// The end of a connection that a client saw so long after it had written a request on it.
-fn closed_unanswered(name: &str, after_ms: i64, is_first: bool, part: bool) -> Event {
+fn closed_unanswered(name: &str, after_ms: i64, is_first: bool, partial: bool) -> Event {
     Event::ClosedUnanswered {
         id: id(name),
         node: 0,
         after: after_ms * 1000,
         is_first,
-        part,
+        partial,
     }
 }
 
@@ -729,8 +736,8 @@
     many.extend(history(1_000, true));
     assert_eq!(rules(&many), []);
     // Of so few requests it is one too many.
-    assert_eq!(rules(&history(1_000, true)), [Rule::NoneLost]);
-    assert_eq!(rules(&history(151, false)), [Rule::NoneLost]);
+    assert_eq!(rules(&history(1_000, true)), [Rule::NoRequestLost]);
+    assert_eq!(rules(&history(151, false)), [Rule::NoRequestLost]);
     // Its node was killed.
     let killed = Event::NodeEnded {
         node: 0,
@@ -752,7 +759,7 @@
             attempt("a", 1, 0, 2),
             (10, closed_unanswered("a", 10, first, false)),
         ];
-        assert_eq!(rules(&history), [Rule::NoneLost]);
+        assert_eq!(rules(&history), [Rule::NoRequestLost]);
     }
     // Also where the server reads it only later; a value that broke off part way is no fault of the node.
     let history = [
@@ -760,11 +767,11 @@
         (10, closed_unanswered("a", 10, false, false)),
         attempt("a", 1, 0, 11),
     ];
-    assert_eq!(rules(&history), [Rule::NoneLost]);
+    assert_eq!(rules(&history), [Rule::NoRequestLost]);
     let history = [
         (0, asked("a", READ)),
         attempt("a", 1, 0, 2),
-        (20, fate("a", 1, Fate::Ran)),
+        (20, outcome("a", 1, AttemptOutcome::Executed)),
         (30, closed_unanswered("a", 30, false, true)),
     ];
     assert_eq!(rules(&history), []);
@@ -773,10 +780,10 @@
 #[test]
 fn refused_connection_is_a_violation_unless_the_process_has_ended() {
     let refused = Event::ConnectionRefused { node: 0 };
-    assert_eq!(rules(&[(5, refused.clone())]), [Rule::GoodManners]);
+    assert_eq!(rules(&[(5, refused.clone())]), [Rule::ProtocolAndLifecycle]);
     let stopping = Event::NodeStopping { node: 0 };
     let history = [(1, stopping), (300, refused.clone())];
-    assert_eq!(rules(&history), [Rule::GoodManners]);
+    assert_eq!(rules(&history), [Rule::ProtocolAndLifecycle]);
     let ended = Event::NodeEnded {
         node: 0,
         killed: true,
@@ -787,7 +794,7 @@
 #[test]
 fn node_that_rejects_all_that_it_gets_for_four_seconds_is_a_violation_where_service_is_required() {
     let find = |rejections: i64, interval: i64, attempt_at: Option<i64>| {
-        let mut checker = Checker::new(site::figures(WAY));
+        let mut checker = Checker::new(site::requirements(WAY));
         checker.require_service();
         let mut history = vec![(0, Event::NodeStarted { node: 0 })];
         for number in 0..rejections {
--- a/crates/testbed/tests/defects.rs
+++ b/crates/testbed/tests/defects.rs
@@ -13,7 +13,7 @@
 use sloewick_node::DecisionEngine;
 use sloewick_testbed::checker::Rule;
 use sloewick_testbed::faults::scenario::{self, Scenario};
-use sloewick_testbed::site::Speech;
+use sloewick_testbed::site::ProtocolOptions;
 use sloewick_testbed::site::CLASSES;
 use sloewick_testbed::virtual_fleet::{self, Defect, Options, Wrap};
 
@@ -212,7 +212,7 @@
     found(
         "forgotten answer",
         "crawling-origin",
-        Rule::NoneLost,
+        Rule::NoRequestLost,
         hear_all,
         |state, _, action| {
             let ends = matches!(action, Action::Fail { .. } | Action::Reject { .. });
@@ -230,7 +230,7 @@
     found(
         "late answer",
         "crawling-origin",
-        Rule::NoneLost,
+        Rule::NoRequestLost,
         hear_all,
         |state, now, action| {
             if matches!(action, Action::Fail { .. }) {
@@ -263,7 +263,7 @@
     found(
         "time not heard",
         "one-way-partition",
-        Rule::NoneLost,
+        Rule::NoRequestLost,
         hear,
         say_all,
     );
@@ -300,7 +300,7 @@
     found_in(
         "leaving heard late",
         &scenario,
-        Rule::NoneLost,
+        Rule::NoRequestLost,
         "had left, the attempt number",
         &|| options(200_000),
     );
@@ -321,7 +321,7 @@
     found_in(
         "closed unread",
         &scenario,
-        Rule::NoneLost,
+        Rule::NoRequestLost,
         "their new connection closed",
         &options,
     );
@@ -501,7 +501,7 @@
     found(
         "drain not heard",
         "rolling-deploy",
-        Rule::DrainsKept,
+        Rule::DrainRespected,
         hear,
         say_all,
     );
@@ -524,7 +524,7 @@
     found(
         "drain heard late",
         "rolling-deploy",
-        Rule::DrainsKept,
+        Rule::DrainRespected,
         hear,
         say_all,
     );
@@ -535,7 +535,7 @@
     found(
         "drain forgotten",
         "rolling-deploy",
-        Rule::DrainsKept,
+        Rule::DrainRespected,
         hear_all,
         |state, _, action| {
             if let Action::Send {
@@ -605,7 +605,7 @@
     found_in(
         "not asked again",
         &scenario,
-        Rule::DrainsKept,
+        Rule::DrainRespected,
         "counts as told",
         &options,
     );
@@ -618,14 +618,14 @@
 fn a_start_that_is_not_believed_is_found_by_the_sum() {
     let options = || Options {
         wrap: Some(planted(unbelieving, say_all)),
-        sturdy: true,
+        cold_servers_never_fail: true,
         ..Options::default()
     };
     let crashes = scenario_of("crashes");
     found_in(
         "start not believed, sum",
         &crashes,
-        Rule::NoColdBoxPushedOver,
+        Rule::NoColdServerOverloaded,
         "requests of mean work",
         &options,
     );
@@ -634,7 +634,7 @@
             &crashes,
             seed,
             Options {
-                sturdy: true,
+                cold_servers_never_fail: true,
                 ..Options::default()
             },
         );
@@ -645,7 +645,7 @@
             .collect();
         assert!(broken.is_empty(), "seed {seed}: {broken:?}");
         assert!(
-            outcome.fullest > 0.0,
+            outcome.max_cold_load > 0.0,
             "seed {seed}: no cold box was sent anything"
         );
     }
@@ -671,7 +671,7 @@
     found(
         "start not believed",
         "crashes",
-        Rule::NoColdBoxPushedOver,
+        Rule::NoColdServerOverloaded,
         unbelieving,
         say_all,
     );
@@ -682,7 +682,7 @@
     found(
         "range taken over at once",
         "crashes",
-        Rule::NoColdBoxPushedOver,
+        Rule::NoColdServerOverloaded,
         hear_all,
         |state, _, action| {
             if let Action::Send {
@@ -721,7 +721,7 @@
     found(
         "newcomer overrun",
         "rolling-deploy",
-        Rule::NoColdBoxPushedOver,
+        Rule::NoColdServerOverloaded,
         hear_all,
         |state, _, action| {
             if let Action::Send {
@@ -766,7 +766,7 @@
     found_in(
         "up late",
         &scenario,
-        Rule::GoodManners,
+        Rule::ProtocolAndLifecycle,
         "were not ready",
         &options,
     );
@@ -808,7 +808,13 @@
             say,
         }) as Box<dyn DecisionEngine>
     });
-    let short = virtual_fleet::shrink(&scenario, 3, Rule::NoneLost, Some(&wrap), Speech::default());
+    let short = virtual_fleet::shrink(
+        &scenario,
+        3,
+        Rule::NoRequestLost,
+        Some(&wrap),
+        ProtocolOptions::default(),
+    );
     let names: Vec<&str> = short.faults.iter().map(|f| f.name).collect();
     assert_eq!(names, ["errors"]);
     assert!(short.seconds < scenario.seconds, "{}", short.seconds);
@@ -817,5 +823,8 @@
         ..Options::default()
     };
     let outcome = virtual_fleet::play(&short, 3, options);
-    assert!(outcome.violations.iter().any(|b| b.rule == Rule::NoneLost));
+    assert!(outcome
+        .violations
+        .iter()
+        .any(|b| b.rule == Rule::NoRequestLost));
 }
--- a/crates/testbed/tests/hard.rs
+++ b/crates/testbed/tests/hard.rs
@@ -167,7 +167,7 @@
     // Its process dies: the attempt may have run. The next one is another box.
     let host = s.cache.host;
     s.hosts.end(host);
-    s.hosts.world.borrow_mut().revive(host);
+    s.hosts.world.borrow_mut().restart_host(host);
     let reborn = Peer::on(&mut s.hosts, host, Some(address(1, 80)));
     s.after(50 * WAY);
     let list = format!(
@@ -302,7 +302,7 @@
     assert!(s.client.saw(&Seen::Broke { refused: false }));
     assert!(!s.cache.text().contains("r1"));
     // Started again it knows nothing of it, and serves.
-    s.hosts.world.borrow_mut().revive(s.node);
+    s.hosts.world.borrow_mut().restart_host(s.node);
     let known = [listed(0, address(1, 80))];
     start_node(
         &mut s.hosts,
@@ -332,7 +332,7 @@
 fn a_machine_that_falls_silent_costs_no_request_its_answer() {
     let mut s = scene();
     s.ask(get("r1", "trace-read", 400));
-    s.hosts.vanish(s.cache.host);
+    s.hosts.isolate(s.cache.host);
     s.client.send(&mut s.hosts, 0, get("r2", "trace-read", 300));
     s.client
         .send(&mut s.hosts, 0, set("w1", "alarm-ack", 1000, None));
--- a/crates/testbed/tests/memcached.rs
+++ b/crates/testbed/tests/memcached.rs
@@ -597,7 +597,7 @@
     // The same node, restarted: it knows nothing.
     let host = s.nodes[0];
     s.hosts.end(host);
-    s.hosts.world.borrow_mut().revive(host);
+    s.hosts.world.borrow_mut().restart_host(host);
     let mut file = site::memcached_file(Some(mc_port(100)));
     stamped(&mut file);
     start_node_with(
--- a/crates/testbed/tests/network.rs
+++ b/crates/testbed/tests/network.rs
@@ -77,7 +77,7 @@
 #[test]
 fn a_machine_that_vanishes_says_nothing_and_resets_when_it_is_back() {
     let (mut hosts, client, server) = pair();
-    hosts.vanish(server.host);
+    hosts.isolate(server.host);
     client.send(&mut hosts, 0, "hello?");
     client.connect(&mut hosts, address(1, 80));
     hosts.play_to(5_000_000);
@@ -117,7 +117,7 @@
     hosts.play_to(3 * WAY);
     let numbers: Vec<String> = (0..200_000).map(|n| n.to_string()).collect();
     let long = numbers.join(",") + ",";
-    assert!(long.len() > 2 * sloewick_testbed::network::WINDOW);
+    assert!(long.len() > 2 * sloewick_testbed::network::RECEIVE_WINDOW);
     client.send(&mut hosts, 0, &long);
     hosts.play_to(3_000_000);
     assert_eq!(server.text(), long);
--- a/crates/testbed/tests/play.rs
+++ b/crates/testbed/tests/play.rs
@@ -1,7 +1,7 @@
 //! Scenarios and the swarm: no broken rule, and the same seed is the same run, byte for byte.
 
 use sloewick_testbed::faults::scenario::{self, Scenario};
-use sloewick_testbed::site::{Boxes, Clients, Speech};
+use sloewick_testbed::site::{Clients, ProtocolOptions, ServerProtocols};
 use sloewick_testbed::virtual_fleet::{self, Options};
 
 fn shipped(name: &str) -> Scenario {
@@ -27,7 +27,7 @@
         broken.join("\n")
     );
     assert!(
-        outcome.report.whole().served > 0,
+        outcome.report.total().served > 0,
         "{} seed {seed}: nothing was served",
         scenario.name
     );
@@ -162,9 +162,9 @@
 #[test]
 fn watch_is_not_dropped_by_the_timer_of_an_earlier_connection() {
     let options = Options {
-        speech: Speech {
+        protocols: ProtocolOptions {
             clients: Clients::Both,
-            boxes: Boxes::Mixed,
+            servers: ServerProtocols::Mixed,
         },
         ..Options::default()
     };
--- a/crates/testbed/tests/protocols.rs
+++ b/crates/testbed/tests/protocols.rs
@@ -5,15 +5,15 @@
 use std::rc::Rc;
 
 use sloewick_decision::api::Micros;
-use sloewick_testbed::checker::observations::{Answer, Event, Id, Names};
+use sloewick_testbed::checker::observations::{Answer, Event, Id, RequestNames};
 use sloewick_testbed::faults::scenario::{self, Scenario};
-use sloewick_testbed::site::{Boxes, Clients, Speech};
+use sloewick_testbed::site::{Clients, ProtocolOptions, ServerProtocols};
 use sloewick_testbed::virtual_fleet::{self, Options, Outcome, Shown};
 
 /// Each request in the order of their asking: when, of which class and key, answered when and how.
 type Asked = Vec<(Micros, usize, usize, Option<(Micros, Answer)>)>;
 
-fn played(scenario: &Scenario, seed: u64, speech: Speech) -> (Outcome, Asked) {
+fn played(scenario: &Scenario, seed: u64, protocols: ProtocolOptions) -> (Outcome, Asked) {
     let seen: Rc<RefCell<(Asked, HashMap<Id, usize>)>> = Rc::default();
     let told = seen.clone();
     let watch = Box::new(move |shown: Shown<'_>| {
@@ -22,13 +22,13 @@
         };
         let (asked, places) = &mut *told.borrow_mut();
         match &observation.event {
-            Event::Asked { id, class, key, .. } => {
+            Event::RequestSent { id, class, key, .. } => {
                 places.insert(id.clone(), asked.len());
                 asked.push((observation.at, *class, *key, None));
             }
-            Event::Answered { id, how } => {
+            Event::Answered { id, answer } => {
                 if let Some(place) = places.get(id) {
-                    asked[*place].3 = Some((observation.at, how.clone()));
+                    asked[*place].3 = Some((observation.at, answer.clone()));
                 }
             }
             _ => {}
@@ -36,7 +36,7 @@
     });
     let options = Options {
         watch: Some(watch),
-        speech,
+        protocols,
         ..Options::default()
     };
     let outcome = virtual_fleet::play(scenario, seed, options);
@@ -63,9 +63,9 @@
                     played(
                         &scenario,
                         1,
-                        Speech {
+                        ProtocolOptions {
                             clients,
-                            boxes: Boxes::Resp,
+                            servers: ServerProtocols::Resp,
                         },
                     )
                 };
@@ -90,7 +90,7 @@
 }
 
 /// Service over some seeds of a scenario.
-fn service(scenario: &Scenario, seeds: std::ops::Range<u64>, speech: Speech) -> f64 {
+fn service(scenario: &Scenario, seeds: std::ops::Range<u64>, protocols: ProtocolOptions) -> f64 {
     let count = seeds.end - seeds.start;
     let sum: f64 = seeds
         .map(|seed| {
@@ -98,7 +98,7 @@
                 scenario,
                 seed,
                 Options {
-                    speech,
+                    protocols,
                     ..Options::default()
                 },
             );
@@ -107,7 +107,7 @@
                 "seed {seed}: {}",
                 outcome.violations[0]
             );
-            outcome.report.whole().service(&outcome.report.classes)
+            outcome.report.total().service(&outcome.report.classes)
         })
         .sum();
     sum / count as f64
@@ -120,18 +120,21 @@
         .map(|name| {
             std::thread::spawn(move || {
                 let scenario = shipped().into_iter().find(|s| s.name == name).unwrap();
-                let of = |boxes| {
+                let of = |servers| {
                     service(
                         &scenario,
                         1..6,
-                        Speech {
+                        ProtocolOptions {
                             clients: Clients::Both,
-                            boxes,
+                            servers,
                         },
                     )
                 };
-                let (resp, mixed, memcached) =
-                    (of(Boxes::Resp), of(Boxes::Mixed), of(Boxes::Memcached));
+                let (resp, mixed, memcached) = (
+                    of(ServerProtocols::Resp),
+                    of(ServerProtocols::Mixed),
+                    of(ServerProtocols::Memcached),
+                );
                 println!("{name}: RESP2 {resp:.4}, mixed {mixed:.4}, memcached {memcached:.4}");
                 assert!((resp - mixed).abs() < 0.01, "{name}: {resp} {mixed}");
                 assert!(
@@ -153,11 +156,11 @@
         .find(|s| s.name == "rolling-deploy")
         .unwrap();
     for clients in [Clients::Resp, Clients::Memcached] {
-        let speech = Speech {
+        let protocols = ProtocolOptions {
             clients,
-            boxes: Boxes::Later,
+            servers: ServerProtocols::Later,
         };
-        let (outcome, asked) = played(&scenario, 5, speech);
+        let (outcome, asked) = played(&scenario, 5, protocols);
         assert!(outcome.violations.is_empty(), "{}", outcome.violations[0]);
         assert!(asked.len() > 1_000);
     }
@@ -171,12 +174,12 @@
         .map(|seeds| {
             std::thread::spawn(move || {
                 for seed in seeds {
-                    let speech = Speech {
+                    let protocols = ProtocolOptions {
                         clients: Clients::Both,
-                        boxes: Boxes::Mixed,
+                        servers: ServerProtocols::Mixed,
                     };
                     let options = Options {
-                        speech,
+                        protocols,
                         ..Options::default()
                     };
                     let outcome = virtual_fleet::play(&scenario::swarm(seed), seed, options);
@@ -197,33 +200,47 @@
 
 #[test]
 fn requests_known_by_16_bits_get_their_whole_names() {
-    use sloewick_testbed::checker::observations::{named_by, opaque_of, short, Fate, Observation};
+    use sloewick_testbed::checker::observations::{
+        memcached_request_id, opaque_of, short_id, AttemptOutcome, Observation,
+    };
     let id: Id = "0123456789abcdef".into();
-    let mut names = Names::default();
-    let asked = Event::Asked {
+    let mut names = RequestNames::default();
+    let asked = Event::RequestSent {
         id: id.clone(),
         node: 0,
         class: 0,
         tenant: 0,
         key: 0,
-        idem: None,
+        idempotency_key: None,
         first: id.clone(),
         budget: 1,
     };
-    names.see(Observation {
+    names.resolve(Observation {
         at: 0,
         event: asked,
     });
-    let fate = |id: Id| Observation {
+    let outcome = |id: Id| Observation {
         at: 1,
-        event: Event::Fate {
+        event: Event::AttemptOutcome {
             id,
             attempt: 1,
-            fate: Fate::Ran,
+            outcome: AttemptOutcome::Executed,
         },
     };
-    assert_eq!(names.see(fate(short(opaque_of(&id)))).event, fate(id).event);
+    assert_eq!(
+        names.resolve(outcome(short_id(opaque_of(&id)))).event,
+        outcome(id).event
+    );
     // A name that nobody has asked under stays as it is.
-    assert_eq!(names.see(fate(short(7))).event, fate("#0007".into()).event);
-    assert_eq!((&*named_by(7), opaque_of(&named_by(7))), ("%00000007", 7));
+    assert_eq!(
+        names.resolve(outcome(short_id(7))).event,
+        outcome("#0007".into()).event
+    );
+    assert_eq!(
+        (
+            &*memcached_request_id(7),
+            opaque_of(&memcached_request_id(7))
+        ),
+        ("%00000007", 7)
+    );
 }
--- a/crates/testbed/tests/standins.rs
+++ b/crates/testbed/tests/standins.rs
@@ -4,13 +4,15 @@
 
 use std::sync::mpsc::Receiver;
 
-use sloewick_testbed::checker::observations::{Announced, Answer, Event, Fate, Observation};
+use sloewick_testbed::checker::observations::{
+    AnnouncedState, Answer, AttemptOutcome, Event, Observation,
+};
 use sloewick_testbed::commands::CommandQueue;
 use sloewick_testbed::emulators::cache_server::{self, CacheServer};
 use sloewick_testbed::emulators::discovery::{self, Discovery};
 use sloewick_testbed::emulators::origin::{self, Origin};
 use sloewick_testbed::network::hosts::Hosts;
-use sloewick_testbed::site::Speech;
+use sloewick_testbed::site::ProtocolOptions;
 use sloewick_testbed::{emulators::clients, site};
 use support::*;
 
@@ -28,8 +30,8 @@
 fn store(edit: impl FnOnce(&mut cache_server::Settings, &mut origin::Settings)) -> Store {
     let mut hosts = hosts();
     let (recorder, observations) = recorder();
-    let mut set = site::cache_box(0, address(1, 80), address(2, 80), false, false, 1);
-    set.kept_before = 0.0;
+    let mut set = site::cache_server_settings(0, address(1, 80), address(2, 80), false, false, 1);
+    set.initial_hit_fraction = 0.0;
     set.speed = 1.0;
     let mut origin_set = site::origin(address(2, 80), 1, &calm());
     edit(&mut set, &mut origin_set);
@@ -76,7 +78,7 @@
     }
 
     fn order(&mut self, order: cache_server::ControlCommand) {
-        self.command_queue.give(order);
+        self.command_queue.push(order);
         self.hosts.wake(self.cache);
         self.after(WAY);
     }
@@ -93,15 +95,15 @@
         self.seen.iter().filter(|w| event(w)).count()
     }
 
-    fn fates(&self) -> Vec<Fate> {
-        let fate = |w: &Event| {
-            if let Event::Fate { fate, .. } = w {
-                Some(*fate)
+    fn fates(&self) -> Vec<AttemptOutcome> {
+        let outcome = |w: &Event| {
+            if let Event::AttemptOutcome { outcome, .. } = w {
+                Some(*outcome)
             } else {
                 None
             }
         };
-        self.seen.iter().filter_map(fate).collect()
+        self.seen.iter().filter_map(outcome).collect()
     }
 }
 
@@ -116,8 +118,10 @@
         .contains("w1|logger/1|"));
     assert_eq!(how(s.ask(get("r3", "trace-read", 900))), "miss");
     assert_eq!(s.count(|w| matches!(w, Event::Fetch { .. })), 2);
-    s.origin_commands
-        .give(origin::ControlCommand::Void { part: 1.0, salt: 9 });
+    s.origin_commands.push(origin::ControlCommand::Void {
+        fraction: 1.0,
+        salt: 9,
+    });
     s.after(600_000);
     assert_eq!(how(s.ask(get("r4", "trace-read", 900))), "miss");
 }
@@ -146,13 +150,16 @@
     }
     let effects = |s: &Store| s.count(|w| matches!(w, Event::Effect { .. }));
     assert_eq!(
-        (effects(&s), s.count(|w| matches!(w, Event::Dropped { .. }))),
+        (
+            effects(&s),
+            s.count(|w| matches!(w, Event::RepeatDropped { .. }))
+        ),
         (1, 1)
     );
     assert!(s.ask(set("w3", "alarm-ack", 900, None)).contains("w3|"));
     assert!(s.ask(set("w3", "alarm-ack", 900, None)).contains("w3|"));
     assert_eq!(effects(&s), 3, "what has no key is never dropped");
-    s.after(site::WINDOW);
+    s.after(site::DEDUPLICATION_WINDOW);
     // The box has closed the idle connection by now.
     s.node.connect(&mut s.hosts, address(1, 80));
     s.after(100_000);
@@ -172,7 +179,7 @@
 
 #[test]
 fn a_full_waiting_room_turns_away_and_says_so() {
-    let mut s = store(|set, _| set.room = 1);
+    let mut s = store(|set, _| set.queue_capacity = 1);
     for _ in 0..3 {
         s.node.connect(&mut s.hosts, address(1, 80));
     }
@@ -192,10 +199,19 @@
         s.node.text()
     );
     assert_eq!(
-        s.fates().iter().filter(|f| **f == Fate::TurnedAway).count(),
+        s.fates()
+            .iter()
+            .filter(|f| **f == AttemptOutcome::Rejected)
+            .count(),
+        2
+    );
+    assert_eq!(
+        s.fates()
+            .iter()
+            .filter(|f| **f == AttemptOutcome::Executed)
+            .count(),
         2
     );
-    assert_eq!(s.fates().iter().filter(|f| **f == Fate::Ran).count(), 2);
 }
 
 #[test]
@@ -269,7 +285,7 @@
     }
     s.after(30_000_000);
     assert_eq!(
-        s.count(|w| *w == Event::Fell { at_box: 0 }),
+        s.count(|w| *w == Event::ServerOverloaded { server: 0 }),
         0,
         "in turn they are no push"
     );
@@ -281,7 +297,7 @@
             .send(&mut s.hosts, n, get(&format!("r{n}"), "trace-read", 900));
     }
     s.after(1_000_000);
-    assert_eq!(s.count(|w| *w == Event::Fell { at_box: 0 }), 1);
+    assert_eq!(s.count(|w| *w == Event::ServerOverloaded { server: 0 }), 1);
     assert!(!s.hosts.has(s.cache));
 }
 
@@ -296,7 +312,10 @@
     s.after(3 * WAY);
     s.node.close(&mut s.hosts, 0);
     s.after(5_000_000);
-    assert_eq!(s.fates(), [Fate::Cut, Fate::Ran]);
+    assert_eq!(
+        s.fates(),
+        [AttemptOutcome::Interrupted, AttemptOutcome::Executed]
+    );
 }
 
 #[test]
@@ -347,7 +366,7 @@
         s.ask(command(&["C.GET", "k", "id", "c=trace-read"])),
         "-SYNTAX\r\n"
     );
-    assert_eq!(s.count(|w| matches!(w, Event::Syntax { .. })), 1);
+    assert_eq!(s.count(|w| matches!(w, Event::MalformedCommand { .. })), 1);
     assert_eq!(s.ask(command(&["PING"])), "+PONG\r\n");
     assert_eq!(s.ask(command(&["INFO", "load"])), "-NOPERM\r\n");
 }
@@ -403,7 +422,7 @@
     assert_eq!(
         observations
             .try_iter()
-            .filter(|f| matches!(f.event, Event::Told { .. }))
+            .filter(|f| matches!(f.event, Event::AnnouncementSent { .. }))
             .count(),
         2
     );
@@ -417,8 +436,8 @@
         ""
     );
     let mut gone = listed(1, address(1, 81));
-    gone.told = Announced::Gone;
-    command_queue.give(discovery::ControlCommand::Change(gone));
+    gone.state = AnnouncedState::Removed;
+    command_queue.push(discovery::ControlCommand::Change(gone));
     hosts.wake(host);
     let (before, now) = (node.text().len(), hosts.now());
     hosts.play_to(now + 10 * WAY);
@@ -429,10 +448,10 @@
     );
     assert_eq!(
         observations.try_iter().map(|f| f.event).collect::<Vec<_>>(),
-        [Event::Told {
+        [Event::AnnouncementSent {
             node: 0,
-            at_box: 1,
-            told: Announced::Gone
+            server: 1,
+            state: AnnouncedState::Removed
         }]
     );
     // A watch with nothing new ends with an empty change; one from an unknown version gets everything.
@@ -456,7 +475,7 @@
 fn discovery_fails_is_late_and_stale_as_ordered() {
     let (mut hosts, node, _facts, command_queue, host) = discovery_scene();
     let give = |hosts: &mut Hosts, order| {
-        command_queue.give(order);
+        command_queue.push(order);
         hosts.wake(host);
         let now = hosts.now();
         hosts.play_to(now + WAY);
@@ -472,7 +491,7 @@
     give(&mut hosts, discovery::ControlCommand::Late(0));
     give(&mut hosts, discovery::ControlCommand::Stale(true));
     let mut drains = listed(0, address(1, 80));
-    drains.told = Announced::Draining;
+    drains.state = AnnouncedState::Draining;
     give(&mut hosts, discovery::ControlCommand::Change(drains));
     assert!(!call(&mut hosts, &node, "/api/targets", 10 * WAY).contains("terminating"));
     give(&mut hosts, discovery::ControlCommand::Stale(false));
@@ -514,13 +533,13 @@
     let mut set = site::clients(
         vec![address(5, 80)],
         Vec::new(),
-        Speech::default(),
+        ProtocolOptions::default(),
         3,
         &scenario,
         10_000_000,
     );
     set.retries = 1.0;
-    let crowd = clients::Crowd::new(hosts.net(host), set, command_queue.clone(), recorder);
+    let crowd = clients::ClientPool::new(hosts.net(host), set, command_queue.clone(), recorder);
     hosts.place(host, Box::new(crowd));
     hosts.play_to(50 * WAY);
     (hosts, node, observations, command_queue)
@@ -541,7 +560,7 @@
     assert!(
         observations
             .try_iter()
-            .filter(|f| matches!(f.event, Event::Asked { .. }))
+            .filter(|f| matches!(f.event, Event::RequestSent { .. }))
             .count()
             > 20
     );
@@ -554,7 +573,7 @@
     hosts.play_to(150 * WAY);
     let asked = |observations: &Receiver<Observation>| -> Vec<(i64, String, String)> {
         let asked = observations.try_iter().filter_map(|f| match f.event {
-            Event::Asked { id, first, .. } => Some((f.at, id.to_string(), first.to_string())),
+            Event::RequestSent { id, first, .. } => Some((f.at, id.to_string(), first.to_string())),
             _ => None,
         });
         asked.collect()
@@ -594,7 +613,7 @@
         matches!(
             f.event,
             Event::Answered {
-                how: Answer::Foreign(_),
+                answer: Answer::Foreign(_),
                 ..
             }
         )
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -11,12 +11,12 @@
 use sloewick_decision::api::Micros;
 use sloewick_node::config;
 use sloewick_node::Node;
-use sloewick_testbed::checker::observations::{Announced, Observation, Recorder};
+use sloewick_testbed::checker::observations::{AnnouncedState, Observation, Recorder};
 use sloewick_testbed::emulators::discovery::Listed;
 use sloewick_testbed::faults::scenario::Scenario;
 use sloewick_testbed::network::hosts::Hosts;
 use sloewick_testbed::network::{Delay, HostId, VNet, World, EPOCH};
-use sloewick_testbed::port::{Actor, Came, Port};
+use sloewick_testbed::port::{Actor, ConnectionEvent, Port};
 use sloewick_testbed::site;
 
 /// One way of everything here, with no chance in it.
@@ -69,22 +69,22 @@
 struct Scripted {
     port: Port<VNet, u64>,
     script: Handle,
-    came: Vec<(usize, Came)>,
+    events: Vec<(usize, ConnectionEvent)>,
 }
 
 impl Actor for Scripted {
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
-        let mut came = std::mem::take(&mut self.came);
-        self.port.poll(wait, &mut came)?;
+        let mut events = std::mem::take(&mut self.events);
+        self.port.poll(wait, &mut events)?;
         let now = self.port.unix() - EPOCH;
-        for (conn, what) in &came {
+        for (conn, what) in &events {
             let seen = match what {
-                Came::Opened(_) => Seen::Opened,
-                Came::Up => Seen::Up,
-                Came::Ended => Seen::Ended,
-                Came::Broke { refused } => Seen::Broke { refused: *refused },
-                Came::Bytes => {
-                    let Some(line) = self.port.line(*conn) else {
+                ConnectionEvent::Accepted(_) => Seen::Opened,
+                ConnectionEvent::Connected => Seen::Up,
+                ConnectionEvent::ReadClosed => Seen::Ended,
+                ConnectionEvent::Failed { refused } => Seen::Broke { refused: *refused },
+                ConnectionEvent::Received => {
+                    let Some(line) = self.port.connection(*conn) else {
                         continue;
                     };
                     let bytes = line.buf.split();
@@ -99,7 +99,7 @@
             };
             self.script.borrow_mut().seen.push((now, *conn, seen));
         }
-        self.came = came;
+        self.events = events;
         Ok(())
     }
 
@@ -112,7 +112,7 @@
             self.port.send(conn, bytes.into());
         }
         for conn in std::mem::take(&mut script.end) {
-            self.port.end(conn);
+            self.port.shutdown_write(conn);
         }
         for conn in std::mem::take(&mut script.close) {
             self.port.close(conn);
@@ -143,7 +143,7 @@
         let scripted = Scripted {
             port,
             script: script.clone(),
-            came: Vec::new(),
+            events: Vec::new(),
         };
         hosts.place(host, Box::new(scripted));
         Peer { host, script }
@@ -231,7 +231,7 @@
         about: String::new(),
         seconds: 5.0,
         nodes: 1,
-        boxes: 1,
+        servers: 1,
         rate: 100.0,
         faults: Vec::new(),
     }
@@ -244,7 +244,7 @@
         endpoint: at,
         zone: site::ZONES[0].to_string(),
         kind: site::KINDS[0].to_string(),
-        told: Announced::In { boot: 0 },
+        state: AnnouncedState::InService { boot: 0 },
     }
 }
 
