--- a/crates/sloewick/tests/support/overload_schedules.rs
+++ b/crates/sloewick/tests/support/overload_schedules.rs
@@ -4,7 +4,7 @@
 
 /// Fraction of the requests first sent in this span that were served within the latency objective of their class.
 pub(crate) fn in_time(span: &Span) -> f64 {
-    span.in_time.iter().sum::<u64>() as f64 / span.asked.iter().sum::<u64>().max(1) as f64
+    span.in_time.iter().sum::<u64>() as f64 / span.requested.iter().sum::<u64>().max(1) as f64
 }
 
 /// Head of a scenario: the size and load of a fleet.
