--- a/crates/decision/benches/module.rs
+++ b/crates/decision/benches/module.rs
@@ -1,5 +1,5 @@
-//! `cargo bench -p sloewick-decision`: what the decision module costs for each request with its outcome, as
-//! the fleet grows.
+//! `cargo bench -p sloewick-decision`: the time that the decision code takes for each request with its
+//! outcome, and for a checkpoint, by the number of servers.
 
 use std::sync::Arc;
 
@@ -43,9 +43,9 @@
     }
 }
 
-/// A node with this many listed servers.
-fn listed(servers: usize) -> Balancer {
-    let mut balancer = Balancer::new(settings(), 7, 0).expect("settings fit");
+/// Creates a balancer whose endpoint list names this many servers.
+fn balancer_with_servers(servers: usize) -> Balancer {
+    let mut balancer = Balancer::new(settings(), 7, 0).expect("valid settings");
     let entries: Arc<[Endpoint]> = (0..servers)
         .map(|n| Endpoint {
             server: format!("s-{n}").into(),
@@ -65,8 +65,9 @@
     balancer
 }
 
-/// Requests one after the other, each answered at once.
-fn serve() -> impl FnMut(&mut Balancer) {
+/// Returns a closure that gives a balancer the next request and ends its first attempt, so that there is at
+/// most one request in flight.
+fn serve_requests() -> impl FnMut(&mut Balancer) {
     let mut actions = Vec::new();
     let keys: Vec<Arc<str>> = (0..2000).map(|n| format!("logger/{n}").into()).collect();
     let (mut now, mut n) = (0, 0usize);
@@ -74,7 +75,7 @@
         now += 2_500;
         n += 1;
         let id: RequestId = format!("{n:016x}").into();
-        // The popular keys come more often.
+        // The product of two numbers below 2000 makes keys with low numbers more popular.
         let key = keys[(n * 7919 % 2000) * (n * 104_729 % 2000) / 2000].clone();
         let request = Request {
             id: id.clone(),
@@ -110,16 +111,16 @@
 
 #[divan::bench(args = [5, 20, 91, 400])]
 fn request_and_outcome(bencher: Bencher<'_, '_>, servers: usize) {
-    let (mut balancer, mut serve) = (listed(servers), serve());
+    let (mut balancer, mut serve_next) = (balancer_with_servers(servers), serve_requests());
     bencher
         .counter(ItemsCount::new(1usize))
-        .bench_local(move || serve(&mut balancer));
+        .bench_local(move || serve_next(&mut balancer));
 }
 
-/// The checkpoint for the next process, once a second, of a node with a full window.
+/// Takes a checkpoint of a node with a full window of arrivals. A node does so once a second.
 #[divan::bench(args = [5, 20, 91, 400])]
 fn checkpoint(bencher: Bencher<'_, '_>, servers: usize) {
-    let (mut balancer, mut serve) = (listed(servers), serve());
-    (0..5_000).for_each(|_| serve(&mut balancer));
+    let (mut balancer, mut serve_next) = (balancer_with_servers(servers), serve_requests());
+    (0..5_000).for_each(|_| serve_next(&mut balancer));
     bencher.bench_local(move || balancer.checkpoint(12_500_000));
 }
--- a/crates/decision/tests/checkpoint.rs
+++ b/crates/decision/tests/checkpoint.rs
@@ -1,6 +1,6 @@
-//! A checkpoint that one process of a node leaves to the next, on virtual time.
+//! Checkpoints that one process of a node hands over to the next, on virtual time.
 
-#[allow(dead_code, reason = "each test file uses its part")]
+#[allow(dead_code, reason = "each test file uses some of the helpers")]
 mod support;
 
 use serde_json::json;
@@ -10,6 +10,7 @@
 
 const SERVERS: usize = 12;
 
+/// A successful response after 5 to 25 ms; `n` determines the latency.
 fn healthy(n: u64) -> (Status, Micros) {
     (
         Status::Ok,
@@ -17,146 +18,150 @@
     )
 }
 
-fn all() -> Vec<(usize, Option<Micros>)> {
+/// All servers, started long ago.
+fn all_servers() -> Vec<(usize, Option<Micros>)> {
     (0..SERVERS).map(|i| (i, None)).collect()
 }
 
-/// A node that has served skewed keys for a while, and whose counts of moved keys begin now.
-fn settled(seed: u64) -> Fleet {
+/// A node that has served skewed keys for 60 s, with its count of moved requests set back to 0.
+fn settled_fleet(seed: u64) -> Fleet {
     let mut fleet = Fleet::new(SERVERS, seed);
-    fleet.skewed = true;
+    fleet.skewed_keys = true;
     fleet.run(60, |_, n| healthy(n));
-    fleet.moved = 0;
+    fleet.moved_requests = 0;
     fleet
 }
 
-/// Requests of the next five seconds whose first attempt goes to another server than before.
-fn moved(
+/// Starts the next process with this checkpoint, if any, and this endpoint list. Returns how many requests of
+/// the next five seconds move to another server.
+fn moved_in_next_process(
     mut fleet: Fleet,
     checkpoint: Option<(Micros, Checkpoint)>,
     list: &[(usize, Option<Micros>)],
 ) -> u32 {
-    fleet.next_process(checkpoint);
-    fleet.list(list);
+    fleet.start_next_process(checkpoint);
+    fleet.deliver_full_list(list);
     fleet.run(5, |_, n| healthy(n));
-    fleet.moved
+    fleet.moved_requests
 }
 
 #[test]
-fn keys_stay_where_they_are_when_the_next_process_restores_a_checkpoint() {
+fn keys_stay_at_their_servers_when_the_next_process_restores_a_checkpoint() {
     for seed in [7, 8, 9] {
-        let mut calm = settled(seed);
-        calm.run(5, |_, n| healthy(n));
-        let (calm, old) = (calm.moved, settled(seed));
+        let mut uninterrupted = settled_fleet(seed);
+        uninterrupted.run(5, |_, n| healthy(n));
+        let (uninterrupted, old) = (uninterrupted.moved_requests, settled_fleet(seed));
         let checkpoint = Some((500_000, old.checkpoint()));
         let (with, without) = (
-            moved(old, checkpoint, &all()),
-            moved(settled(seed), None, &all()),
+            moved_in_next_process(old, checkpoint, &all_servers()),
+            moved_in_next_process(settled_fleet(seed), None, &all_servers()),
         );
         println!(
-            "seed {seed}: of 1250 requests {calm} moved in calm, {with} with a checkpoint, {without} without"
+            "seed {seed}: of 1250 requests {uninterrupted} moved without a restart, \
+             {with} after one with a checkpoint, {without} after one without"
         );
         assert!(
-            with <= calm + 20,
-            "seed {seed}: {with} moved, {calm} in calm"
+            with <= uninterrupted + 20,
+            "seed {seed}: {with} moved with a checkpoint, {uninterrupted} without a restart"
         );
         assert!(
-            without >= calm + 40,
-            "seed {seed}: {without} moved without a checkpoint: what would be gained?"
+            without >= uninterrupted + 40,
+            "seed {seed}: {without} moved without a checkpoint, {uninterrupted} without a restart: the test \
+             can't show a benefit of checkpoints"
         );
     }
 }
 
 #[test]
 fn evidence_against_a_server_is_restored_unless_it_has_restarted_since() {
-    let fail = |server: usize, n| {
+    let first_server_fails = |server: usize, n| {
         if server == 0 {
             (Status::Error, 5_000)
         } else {
             healthy(n)
         }
     };
-    for (started, held) in [(None, true), (Some(1), false)] {
-        let mut fleet = settled(7);
-        fleet.run(5, fail);
+    for (started, restored) in [(None, true), (Some(1), false)] {
+        let mut fleet = settled_fleet(7);
+        fleet.run(5, first_server_fails);
         assert_eq!(fleet.outliers(), [0]);
         assert!(fleet.checkpoint().outlier_probability("srv0") > 0.3);
         let checkpoint = Some((1_000_000, fleet.checkpoint()));
-        fleet.next_process(checkpoint);
-        let mut list = all();
+        fleet.start_next_process(checkpoint);
+        let mut list = all_servers();
         list[0].1 = started;
-        fleet.list(&list);
+        fleet.deliver_full_list(&list);
         assert_eq!(
             fleet.checkpoint().outlier_probability("srv0") > 0.3,
-            held,
+            restored,
             "started: {started:?}"
         );
     }
 }
 
 #[test]
-fn unlisted_servers_get_nothing_and_new_ones_their_share_after_a_restore() {
-    let mut fleet = settled(7);
+fn unlisted_servers_get_no_attempts_and_new_servers_get_their_share_after_a_restore() {
+    let mut fleet = settled_fleet(7);
     let checkpoint = Some((500_000, fleet.checkpoint()));
-    fleet.next_process(checkpoint);
-    let some: Vec<_> = all()
+    fleet.start_next_process(checkpoint);
+    let without_two: Vec<_> = all_servers()
         .into_iter()
         .filter(|(i, _)| ![3, 11].contains(i))
         .collect();
-    fleet.list(&some);
-    fleet.first_attempts();
+    fleet.deliver_full_list(&without_two);
+    fleet.take_first_attempts();
     fleet.run(5, |_, n| healthy(n));
-    let first = fleet.first_attempts();
+    let first = fleet.take_first_attempts();
     assert_eq!((first[3], first[11]), (0, 0));
     assert!(
         (0..SERVERS).all(|i| [3, 11].contains(&i) || first[i] > 20),
         "{first:?}"
     );
-    // And the other way round: a checkpoint of ten servers, a list of twelve.
+    // The reverse case: a checkpoint of ten servers and a list of twelve.
     let checkpoint = Some((500_000, fleet.checkpoint()));
-    fleet.next_process(checkpoint);
-    fleet.list(&all());
+    fleet.start_next_process(checkpoint);
+    fleet.deliver_full_list(&all_servers());
     fleet.run(5, |_, n| healthy(n));
-    let first = fleet.first_attempts();
+    let first = fleet.take_first_attempts();
     assert!(first.iter().all(|n| *n > 20), "{first:?}");
 }
 
 #[test]
-fn nothing_is_sent_before_an_endpoint_list_names_a_server() {
-    let mut fleet = settled(7);
+fn no_attempt_is_sent_before_an_endpoint_list_names_a_server() {
+    let mut fleet = settled_fleet(7);
     let checkpoint = Some((500_000, fleet.checkpoint()));
-    fleet.next_process(checkpoint);
-    fleet.first_attempts();
+    fleet.start_next_process(checkpoint);
+    fleet.take_first_attempts();
     fleet.run(1, |_, n| healthy(n));
-    assert_eq!(fleet.first_attempts(), [0; SERVERS]);
-    // An empty list names no server; the checkpoint waits for one that does.
-    fleet.list(&[]);
+    assert_eq!(fleet.take_first_attempts(), [0; SERVERS]);
+    // An empty list names no server: the checkpoint is kept for a list that names one.
+    fleet.deliver_full_list(&[]);
     fleet.run(1, |_, n| healthy(n));
-    assert_eq!(fleet.first_attempts(), [0; SERVERS]);
-    fleet.list(&all());
-    fleet.moved = 0;
+    assert_eq!(fleet.take_first_attempts(), [0; SERVERS]);
+    fleet.deliver_full_list(&all_servers());
+    fleet.moved_requests = 0;
     fleet.run(5, |_, n| healthy(n));
-    assert!(fleet.moved < 90, "{} moved", fleet.moved);
+    assert!(fleet.moved_requests < 90, "{} moved", fleet.moved_requests);
 }
 
 #[test]
-fn same_state_gives_the_same_checkpoint_and_a_restored_node_too() {
-    let (a, b) = (settled(7), settled(7));
+fn nodes_in_the_same_state_and_a_restored_node_give_the_same_checkpoint() {
+    let (a, b) = (settled_fleet(7), settled_fleet(7));
     assert_eq!(a.checkpoint(), b.checkpoint());
     let checkpoint = a.checkpoint();
-    let mut next = settled(8);
-    next.next_process(Some((0, checkpoint.clone())));
-    next.list(&all());
+    let mut next = settled_fleet(8);
+    next.start_next_process(Some((0, checkpoint.clone())));
+    next.deliver_full_list(&all_servers());
     assert_eq!(next.checkpoint(), checkpoint);
     assert_eq!(checkpoint.size(), (SERVERS, 1152));
 }
 
 #[test]
-fn checkpoint_that_no_node_can_have_taken_is_rejected_whole() {
-    let healthy = settled(7).checkpoint();
-    assert!(healthy.clone().validated().is_some());
-    let text = serde_json::to_value(&healthy).unwrap();
-    for (at, value) in [
+fn checkpoint_with_one_invalid_value_is_rejected() {
+    let valid = settled_fleet(7).checkpoint();
+    assert!(valid.clone().validated().is_some());
+    let json = serde_json::to_value(&valid).unwrap();
+    for (path, value) in [
         ("/servers/0/upper_bound", json!(0.999)),
         ("/servers/0/upper_bound", json!(-0.1)),
         ("/servers/0/server", json!("")),
@@ -186,9 +191,14 @@
         ("/admitted_fraction", json!(-0.1)),
         ("/retry_tokens", json!(-1.0)),
     ] {
-        let mut damaged = text.clone();
-        *damaged.pointer_mut(at).unwrap_or_else(|| panic!("{at}")) = value.clone();
+        let mut damaged = json.clone();
+        *damaged
+            .pointer_mut(path)
+            .unwrap_or_else(|| panic!("the checkpoint has no field {path}")) = value.clone();
         let damaged: Checkpoint = serde_json::from_value(damaged).unwrap();
-        assert!(damaged.validated().is_none(), "{at} {value}");
+        assert!(
+            damaged.validated().is_none(),
+            "checkpoint with {path} = {value} was accepted"
+        );
     }
 }
--- a/crates/decision/tests/checkpoint_format.rs
+++ b/crates/decision/tests/checkpoint_format.rs
@@ -1,15 +1,15 @@
-//! The bytes of a checkpoint: a process reads what the version before it has written (postcard encodes fields
-//! by position).
+//! The byte format of a checkpoint: a process reads checkpoints that the previous version has written.
+//! Postcard encodes fields by position.
 
-#[allow(dead_code, reason = "each test file uses its part")]
+#[allow(dead_code, reason = "each test file uses some of the helpers")]
 mod support;
 
 use sloewick_decision::api::{Micros, Status};
 use sloewick_decision::Checkpoint;
 
-/// Three servers of which one breaks its connections, ten requests; written by version 0.2.0 of the code,
-/// where modules, types and fields had other names.
-const WRITTEN_BEFORE: &str = "\
+/// A checkpoint in hexadecimal digits, of a node with three servers, one of which breaks its connections,
+/// after ten requests. Version 0.2.0 wrote it, in which modules, types and fields had other names.
+const CHECKPOINT_OF_0_2_0: &str = "\
     03047372763000555555555555d53fb8ff2bf327b92440d08756c08db701000000000000f03f000000000000000000000000\
     0000000000000000000000000000000000002240000000000088d340047372763100555555555555e53f0000000000000000\
     0000000000000000f03f0000000000000000000000000000000000000000000000000000000000002240000000000088d340\
@@ -25,18 +25,19 @@
     f952671e400100000000000022400000000000000000000000000000f03f48c393ec09c6913f69298eff932ea53f00000000\
     0000f03f0200000000001940";
 
+/// The bytes of the stored checkpoint.
 fn fixture() -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&WRITTEN_BEFORE[at..at + 2], 16);
-    (0..WRITTEN_BEFORE.len())
+    let digit = |at: usize| u8::from_str_radix(&CHECKPOINT_OF_0_2_0[at..at + 2], 16);
+    (0..CHECKPOINT_OF_0_2_0.len())
         .step_by(2)
         .map(|at| digit(at).expect("two hexadecimal digits"))
         .collect()
 }
 
-/// The run that the fixture was written after.
+/// Repeats the run after which the fixture was written.
 fn fleet_of_the_fixture() -> support::Fleet {
     let mut fleet = support::Fleet::new(3, 7);
-    fleet.every = 200_000;
+    fleet.request_interval = 200_000;
     let answer = |server: usize, _| -> (Status, Micros) {
         match server {
             0 => (Status::Reset, 5_000),
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn checkpoint_of_the_version_before_is_read_whole() {
+fn checkpoint_of_the_previous_version_is_read_completely() {
     let bytes = fixture();
     let (read, rest): (Checkpoint, &[u8]) = postcard::take_from_bytes(&bytes).expect("readable");
     assert!(rest.is_empty());
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn checkpoint_is_written_in_the_bytes_of_the_version_before() {
+fn checkpoint_is_written_as_the_same_bytes_as_by_the_previous_version() {
     let written = postcard::to_stdvec(&fleet_of_the_fixture().checkpoint()).expect("written");
     assert_eq!(written, fixture());
 }
--- a/crates/decision/tests/outlier_detection.rs
+++ b/crates/decision/tests/outlier_detection.rs
@@ -1,7 +1,7 @@
-//! Outlier detection where a few servers fail or are slow: where first attempts and retries go, on virtual
-//! time.
+//! Outlier detection on virtual time: which servers get first attempts and retries while some servers fail or
+//! are slow.
 
-#[allow(dead_code, reason = "each test file uses its part")]
+#[allow(dead_code, reason = "each test file uses some of the helpers")]
 mod support;
 
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,11 +13,11 @@
 
 const SERVERS: usize = 12;
 
-fn id(i: usize) -> ServerId {
+fn server_id(i: usize) -> ServerId {
     Arc::from(format!("srv{i}"))
 }
 
-/// An answer within 5 to 25 ms.
+/// A successful response after 5 to 25 ms; `n` determines the latency.
 fn healthy(n: u64) -> (Status, Micros) {
     (
         Status::Ok,
@@ -25,10 +25,10 @@
     )
 }
 
-/// Fails every attempt at the servers before this one, after 5 ms.
-fn failing(failing_server: usize) -> impl FnMut(usize, u64) -> (Status, Micros) {
+/// Every attempt at the first `failing_servers` servers fails after 5 ms; the others are healthy.
+fn failing(failing_servers: usize) -> impl FnMut(usize, u64) -> (Status, Micros) {
     move |server, n| {
-        if server < failing_server {
+        if server < failing_servers {
             (Status::Error, 5_000)
         } else {
             healthy(n)
@@ -37,182 +37,192 @@
 }
 
 #[test]
-fn first_attempts_leave_failing_servers_and_spread_over_all_others() {
+fn first_attempts_move_from_failing_servers_to_all_others() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm = fleet.first_attempts();
+    let baseline = fleet.take_first_attempts();
     fleet.run(2, failing(2));
-    fleet.first_attempts();
-    fleet.clear_ends();
+    fleet.take_first_attempts();
+    fleet.reset_ended_requests();
     fleet.run(5, failing(2));
-    let ejected = fleet.first_attempts();
+    let during_failures = fleet.take_first_attempts();
     for failing_server in 0..2 {
         assert!(
-            ejected[failing_server] * 4 < calm[failing_server],
-            "server {failing_server}: {} first attempts, {} in calm",
-            ejected[failing_server],
-            calm[failing_server]
+            during_failures[failing_server] * 4 < baseline[failing_server],
+            "server {failing_server}: {} first attempts, {} before",
+            during_failures[failing_server],
+            baseline[failing_server]
         );
     }
     for healthy in 2..SERVERS {
-        let more = f64::from(ejected[healthy]) / f64::from(calm[healthy]);
-        assert!(more < 1.6, "server {healthy} got {more:.2} times as much");
+        let ratio = f64::from(during_failures[healthy]) / f64::from(baseline[healthy]);
+        assert!(
+            ratio < 1.6,
+            "server {healthy} got {ratio:.2} times as many first attempts as before"
+        );
     }
-    let (served, ended) = fleet.ends();
+    let (served, ended) = fleet.ended_requests();
     assert!(served * 1000 >= ended * 995, "{served} of {ended} served");
 }
 
 #[test]
-fn server_that_fails_every_second_request_is_ejected_too() {
+fn server_that_fails_every_second_request_is_ejected() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm = fleet.first_attempts();
-    let mut turn = 0;
+    let baseline = fleet.take_first_attempts();
+    let mut attempts = 0;
     let mut every_second = |server: usize, n| {
-        turn += usize::from(server == 3);
-        if server == 3 && turn % 2 == 0 {
+        attempts += usize::from(server == 3);
+        if server == 3 && attempts % 2 == 0 {
             (Status::Error, 5_000)
         } else {
             healthy(n)
         }
     };
     fleet.run(2, &mut every_second);
-    fleet.first_attempts();
+    fleet.take_first_attempts();
     fleet.run(5, &mut every_second);
-    let ejected = fleet.first_attempts();
+    let during_failures = fleet.take_first_attempts();
     assert!(
-        ejected[3] * 2 < calm[3],
-        "{} first attempts, {} in calm",
-        ejected[3],
-        calm[3]
+        during_failures[3] * 2 < baseline[3],
+        "{} first attempts, {} before",
+        during_failures[3],
+        baseline[3]
     );
 }
 
 #[test]
-fn ejected_server_is_probed_with_any_of_its_keys() {
+fn ejected_server_is_probed_with_many_of_its_keys() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let all = fleet.first_keys[0].len();
+    let keys = fleet.first_attempt_keys[0].len();
     fleet.run(3, failing(1));
-    fleet.first_keys[0].clear();
+    fleet.first_attempt_keys[0].clear();
     fleet.run(10, failing(1));
-    let tried = fleet.first_keys[0].len();
-    assert!(tried * 4 > all, "{tried} of {all} keys were tried");
+    let probed = fleet.first_attempt_keys[0].len();
+    assert!(
+        probed * 4 > keys,
+        "{probed} of {keys} keys were used for probes"
+    );
 }
 
 #[test]
-fn secondary_of_a_key_is_the_same_at_every_node() {
-    let homes = |seed| {
+fn most_keys_have_the_same_secondary_server_at_two_nodes() {
+    let servers_by_key = |seed| {
         let mut fleet = Fleet::new(SERVERS, seed);
         fleet.run(5, failing(1));
         fleet.served_by.clear();
         fleet.run(5, failing(1));
         fleet.served_by
     };
-    let (a, b) = (homes(1), homes(2));
+    let (a, b) = (servers_by_key(1), servers_by_key(2));
     let both: Vec<_> = a.keys().filter(|k| b.contains_key(*k)).collect();
     let same = both.iter().filter(|k| a[**k] == b[**k]).count();
     assert!(
         both.len() > 100 && same * 100 >= both.len() * 90,
-        "{same} of {}",
+        "{same} of {} keys have the same server at both nodes",
         both.len()
     );
 }
 
 #[test]
-fn server_that_answers_again_regains_its_keys() {
+fn recovered_servers_regain_their_keys() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm = fleet.first_attempts();
+    let baseline = fleet.take_first_attempts();
     fleet.run(5, failing(2));
     fleet.run(10, |_, n| healthy(n));
-    fleet.first_attempts();
+    fleet.take_first_attempts();
     fleet.run(5, |_, n| healthy(n));
-    let back = fleet.first_attempts();
-    for failing_server in 0..2 {
+    let recovered = fleet.take_first_attempts();
+    for server in 0..2 {
         assert!(
-            back[failing_server] * 10 >= calm[failing_server] * 8,
-            "server {failing_server}: {} of {}",
-            back[failing_server],
-            calm[failing_server]
+            recovered[server] * 10 >= baseline[server] * 8,
+            "server {server}: {} first attempts, {} before",
+            recovered[server],
+            baseline[server]
         );
     }
 }
 
 #[test]
-fn no_server_is_ejected_when_half_of_the_servers_fail_or_all_fail_a_little() {
-    for (failing_server, one_in) in [(SERVERS / 2, 1), (SERVERS, 5)] {
+fn no_server_is_ejected_when_half_of_the_servers_fail_or_all_fail_occasionally() {
+    for (failing_servers, one_in) in [(SERVERS / 2, 1), (SERVERS, 5)] {
         let mut fleet = Fleet::new(SERVERS, 7);
         fleet.run(5, |_, n| healthy(n));
-        let calm = fleet.first_attempts();
-        let half = move |server: usize, n: u64| {
-            if server < failing_server && n.is_multiple_of(one_in) {
+        let baseline = fleet.take_first_attempts();
+        let answer = move |server: usize, n: u64| {
+            if server < failing_servers && n.is_multiple_of(one_in) {
                 (Status::Error, 5_000)
             } else {
                 healthy(n)
             }
         };
-        fleet.run(5, half);
-        let now = fleet.first_attempts();
+        fleet.run(5, answer);
+        let during_failures = fleet.take_first_attempts();
         let (before, after): (u32, u32) = (
-            calm[..failing_server].iter().sum(),
-            now[..failing_server].iter().sum(),
+            baseline[..failing_servers].iter().sum(),
+            during_failures[..failing_servers].iter().sum(),
         );
         assert!(
             after * 10 >= before * 8,
-            "{failing_server} servers, one in {one_in}: {after} of {before}"
+            "one in {one_in} attempts at {failing_servers} servers fails: {after} first attempts there, \
+             {before} before"
         );
     }
 }
 
 #[test]
 fn hot_key_is_spread_while_its_home_is_ejected() {
-    let hot = 77;
+    let hot_key = 77;
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(2, |_, n| healthy(n));
-    let home = fleet.burst(&[hot])[0];
-    let mut failing_server = |server: usize, n| {
+    let home = fleet.send_at_once(&[hot_key])[0];
+    let mut home_fails = |server: usize, n| {
         if server == home {
             (Status::Error, 5_000)
         } else {
             healthy(n)
         }
     };
-    fleet.run(3, &mut failing_server);
-    fleet.hot = Some(hot);
-    fleet.run(2, &mut failing_server);
-    fleet.first_attempts();
-    fleet.run(5, &mut failing_server);
-    let first = fleet.first_attempts();
+    fleet.run(3, &mut home_fails);
+    fleet.hot_key = Some(hot_key);
+    fleet.run(2, &mut home_fails);
+    fleet.take_first_attempts();
+    fleet.run(5, &mut home_fails);
+    let first = fleet.take_first_attempts();
     let (most, all): (u32, u32) = (*first.iter().max().unwrap(), first.iter().sum());
-    assert!(most * 4 < all, "one server has {most} of {all}: {first:?}");
+    assert!(
+        most * 4 < all,
+        "one server got {most} of {all} first attempts: {first:?}"
+    );
     assert!(
         first[home] * 25 < all,
-        "it is not dealt to the one that fails: {first:?}"
+        "too many first attempts at the failing home {home}: {first:?}"
     );
 }
 
 #[test]
-fn nothing_is_remembered_of_a_removed_server() {
+fn removed_server_regains_its_keys_at_once_when_it_is_listed_again() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm = fleet.first_attempts();
+    let baseline = fleet.take_first_attempts();
     fleet.run(5, failing(1));
-    fleet.leave_and_return(0);
-    fleet.first_attempts();
+    fleet.remove_and_relist(0);
+    fleet.take_first_attempts();
     fleet.run(1, |_, n| healthy(n));
-    let back = fleet.first_attempts();
+    let recovered = fleet.take_first_attempts();
     assert!(
-        back[0] * 5 * 2 > calm[0],
-        "{} in a second, {} in five in calm",
-        back[0],
-        calm[0]
+        recovered[0] * 5 * 2 > baseline[0],
+        "{} first attempts in a second, {} in five seconds before",
+        recovered[0],
+        baseline[0]
     );
 }
 
 #[test]
 fn retries_avoid_failing_servers() {
-    // All but the first two are slow, so that hedged requests are sent.
+    // The first two servers fail; all others are slow, so that hedged requests are sent.
     let mut fleet = Fleet::new(SERVERS, 7);
     let mut slow = |server: usize, _| {
         if server < 2 {
@@ -222,38 +232,39 @@
         }
     };
     fleet.run(5, &mut slow);
-    fleet.second_attempts();
+    fleet.take_later_attempts();
     fleet.run(5, &mut slow);
-    let second = fleet.second_attempts();
-    let (failing_server, all): (u32, u32) = (second[..2].iter().sum(), second.iter().sum());
+    let later = fleet.take_later_attempts();
+    let (at_failing, all): (u32, u32) = (later[..2].iter().sum(), later.iter().sum());
     assert!(
-        all > 50 && failing_server * 50 < all,
-        "{failing_server} of {all} second attempts"
+        all > 50 && at_failing * 50 < all,
+        "{at_failing} of {all} retries and hedged requests went to failing servers"
     );
 }
 
 #[test]
-fn restarted_server_has_its_keys_at_once() {
+fn restarted_server_regains_its_keys_at_once() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm = fleet.first_attempts();
+    let baseline = fleet.take_first_attempts();
     fleet.run(5, failing(1));
-    fleet.restart(0);
-    fleet.first_attempts();
+    fleet.announce_restart(0);
+    fleet.take_first_attempts();
     fleet.run(1, |_, n| healthy(n));
-    let back = fleet.first_attempts();
+    let recovered = fleet.take_first_attempts();
     assert!(
-        back[0] * 5 * 2 > calm[0],
-        "{} in a second, {} in five in calm",
-        back[0],
-        calm[0]
+        recovered[0] * 5 * 2 > baseline[0],
+        "{} first attempts in a second, {} in five seconds before",
+        recovered[0],
+        baseline[0]
     );
 }
 
-/// Answers late at the servers before `slow`: 120 ms, with a latency objective of 150 ms.
-fn slow(slow: usize) -> impl FnMut(usize, u64) -> (Status, Micros) {
+/// The first `slow_servers` servers answer after 120 ms, with a latency objective of 150 ms; the others are
+/// healthy.
+fn slow(slow_servers: usize) -> impl FnMut(usize, u64) -> (Status, Micros) {
     move |server, n| {
-        if server < slow {
+        if server < slow_servers {
             (Status::Ok, 120_000)
         } else {
             healthy(n)
@@ -262,128 +273,141 @@
 }
 
 #[test]
-fn first_attempts_leave_slow_servers() {
+fn first_attempts_move_away_from_slow_servers() {
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm = fleet.first_attempts();
+    let baseline = fleet.take_first_attempts();
     fleet.run(3, slow(2));
-    fleet.first_attempts();
+    fleet.take_first_attempts();
     fleet.run(5, slow(2));
-    let now = fleet.first_attempts();
-    for failing_server in 0..2 {
+    let while_slow = fleet.take_first_attempts();
+    for server in 0..2 {
         assert!(
-            now[failing_server] * 4 < calm[failing_server],
-            "server {failing_server}: {} first attempts, {} in calm",
-            now[failing_server],
-            calm[failing_server]
+            while_slow[server] * 4 < baseline[server],
+            "server {server}: {} first attempts, {} before",
+            while_slow[server],
+            baseline[server]
         );
     }
 }
 
 #[test]
-fn slowest_servers_are_left_when_all_are_slow_now_and_then() {
-    // Every fourth answer is late everywhere, so that no server is healthy; at the first two all are.
+fn slowest_servers_lose_first_attempts_when_all_are_slow_occasionally() {
+    // Every fourth response is late at all servers, so that no server is healthy; the first two are always
+    // late.
     let answer = |server: usize, n: u64| {
-        let (status, soon) = healthy(n);
+        let (status, latency) = healthy(n);
         (
             status,
             if server < 2 || n.is_multiple_of(4) {
                 120_000
             } else {
-                soon
+                latency
             },
         )
     };
     let mut fleet = Fleet::new(SERVERS, 7);
     fleet.run(5, |_, n| healthy(n));
-    let calm: u32 = fleet.first_attempts()[..2].iter().sum();
+    let baseline: u32 = fleet.take_first_attempts()[..2].iter().sum();
     fleet.run(5, answer);
-    fleet.first_attempts();
+    fleet.take_first_attempts();
     fleet.run(5, answer);
-    let now: u32 = fleet.first_attempts()[..2].iter().sum();
-    assert!(now * 2 < calm, "{now} first attempts, {calm} in calm");
+    let while_slow: u32 = fleet.take_first_attempts()[..2].iter().sum();
+    assert!(
+        while_slow * 2 < baseline,
+        "{while_slow} first attempts, {baseline} before"
+    );
 }
 
 #[test]
-fn retry_goes_to_the_same_server_at_every_node() {
-    let second = |seed| {
+fn most_keys_have_the_same_server_for_retries_at_two_nodes() {
+    let retry_servers = |seed| {
         let mut fleet = Fleet::new(SERVERS, seed);
         fleet.run(2, |_, n| healthy(n));
-        let mut turn = 0;
-        // Now and then an attempt fails anywhere: too few to eject a server.
-        let mut now_and_then = |_: usize, n| {
-            turn += 1;
-            if turn % 9 == 0 {
+        let mut attempts = 0;
+        // One in nine attempts fails, at any server: too few failures to eject a server.
+        let mut occasional_failures = |_: usize, n| {
+            attempts += 1;
+            if attempts % 9 == 0 {
                 (Status::Error, 5_000)
             } else {
                 healthy(n)
             }
         };
-        fleet.run(10, &mut now_and_then);
-        fleet.second_to
+        fleet.run(10, &mut occasional_failures);
+        fleet.later_attempt_servers
     };
-    let (a, b) = (second(1), second(2));
+    let (a, b) = (retry_servers(1), retry_servers(2));
     let both: Vec<_> = a.keys().filter(|k| b.contains_key(*k)).collect();
     let same = both.iter().filter(|k| a[**k] == b[**k]).count();
     assert!(
         both.len() > 50 && same * 2 > both.len(),
-        "{same} of {}",
+        "{same} of {} keys have the same server for retries at both nodes",
         both.len()
     );
 }
 
 #[test]
 fn busy_home_is_relieved_of_recently_served_keys_only() {
-    let calm = || {
+    let healthy_fleet = || {
         let mut fleet = Fleet::new(SERVERS, 7);
         fleet.run(5, |_, n| healthy(n));
         fleet
     };
-    // Homes of keys that were not requested yet, found one by one; then ten keys of one home at once.
-    let mut fleet = calm();
+    // Finds the homes of new keys by requesting them one by one; then requests ten keys of one home at once.
+    let mut fleet = healthy_fleet();
     let mut homes: Vec<(usize, u64)> = Vec::new();
     for key in 1000..1200 {
-        homes.push((fleet.burst(&[key])[0], key));
+        homes.push((fleet.send_at_once(&[key])[0], key));
         fleet.run(1, |_, _| (Status::Ok, 1_000));
     }
-    let of = |home| {
+    let keys_of = |home| {
         homes
             .iter()
             .filter(move |(h, _)| *h == home)
             .map(|(_, key)| *key)
     };
-    let home = (0..SERVERS).max_by_key(|home| of(*home).count()).unwrap();
-    let keys: Vec<u64> = of(home).take(10).collect();
+    let home = (0..SERVERS)
+        .max_by_key(|home| keys_of(*home).count())
+        .unwrap();
+    let keys: Vec<u64> = keys_of(home).take(10).collect();
     assert_eq!(keys.len(), 10);
-    let mut fleet = calm();
-    let at_home = |went: Vec<usize>| went.into_iter().filter(|to| *to == home).count();
-    let unknown = at_home(fleet.burst(&keys));
+    let mut fleet = healthy_fleet();
+    let count_at_home =
+        |servers: Vec<usize>| servers.into_iter().filter(|server| *server == home).count();
+    let not_served = count_at_home(fleet.send_at_once(&keys));
     assert!(
-        unknown >= 8,
-        "{unknown} of ten keys that nobody was served yet stayed at home"
+        not_served >= 8,
+        "{not_served} of ten keys that were never served went to their home"
     );
     fleet.run(1, |_, n| healthy(n));
-    let known = at_home(fleet.burst(&keys));
+    let recently_served = count_at_home(fleet.send_at_once(&keys));
     assert!(
-        (1..=5).contains(&known),
-        "{known} of ten known keys at once stayed at home"
+        (1..=5).contains(&recently_served),
+        "{recently_served} of ten recently served keys, requested at once, went to their home"
     );
 }
 
-fn record(outliers: &mut OutlierDetector, server: usize, failed: bool, times: usize) {
+fn record_outcomes(detector: &mut OutlierDetector, server: usize, failed: bool, times: usize) {
     for _ in 0..times {
-        outliers.record(0, &id(server), RequestKind::LikelyCached, failed, SERVERS);
+        detector.record(
+            0,
+            &server_id(server),
+            RequestKind::LikelyCached,
+            failed,
+            SERVERS,
+        );
     }
 }
 
 #[test]
-fn no_more_than_a_third_is_ejected_the_worst_first() {
-    let mut outliers = OutlierDetector::default();
+fn at_most_a_third_of_the_servers_are_ejected_the_worst_first() {
+    let mut detector = OutlierDetector::default();
     for server in 0..5 {
-        record(&mut outliers, server, true, 40 - server);
+        record_outcomes(&mut detector, server, true, 40 - server);
     }
     let retained: Vec<f64> = (0..SERVERS)
-        .map(|i| outliers.retained_fraction(&id(i)))
+        .map(|i| detector.retained_fraction(&server_id(i)))
         .collect();
     assert_eq!(retained[..4], [0.0; 4]);
     assert_eq!(retained[4..], [1.0; SERVERS - 4]);
@@ -391,81 +415,87 @@
 
 #[test]
 fn evidence_against_a_server_is_dropped_when_it_restarts_or_is_removed() {
-    let mut outliers = OutlierDetector::default();
-    record(&mut outliers, 0, true, 24);
-    assert_eq!(outliers.retained_fraction(&id(0)), 0.0);
-    outliers.reset(&id(0));
-    assert_eq!(outliers.retained_fraction(&id(0)), 1.0);
-    record(&mut outliers, 0, true, 24);
-    outliers.retain(|server| server != "srv0");
-    assert_eq!(outliers.retained_fraction(&id(0)), 1.0);
+    let mut detector = OutlierDetector::default();
+    record_outcomes(&mut detector, 0, true, 24);
+    assert_eq!(detector.retained_fraction(&server_id(0)), 0.0);
+    detector.reset(&server_id(0));
+    assert_eq!(detector.retained_fraction(&server_id(0)), 1.0);
+    record_outcomes(&mut detector, 0, true, 24);
+    detector.retain(|server| server != "srv0");
+    assert_eq!(detector.retained_fraction(&server_id(0)), 1.0);
 }
 
 #[test]
-fn evidence_against_a_server_decays() {
-    let mut outliers = OutlierDetector::default();
-    record(&mut outliers, 0, true, 24);
-    assert!(outliers.retained_fraction(&id(0)) < 1.0);
-    // Others' answers only; its own are not needed.
+fn evidence_against_a_server_decays_with_time() {
+    let mut detector = OutlierDetector::default();
+    record_outcomes(&mut detector, 0, true, 24);
+    assert!(detector.retained_fraction(&server_id(0)) < 1.0);
+    // Only another server has outcomes: the evidence decays without any at the ejected server.
     (0..8).for_each(|_| {
-        outliers.record(
+        detector.record(
             60_000_000,
-            &id(1),
+            &server_id(1),
             RequestKind::LikelyCached,
             false,
             SERVERS,
         );
     });
-    assert_eq!(outliers.retained_fraction(&id(0)), 1.0);
+    assert_eq!(detector.retained_fraction(&server_id(0)), 1.0);
 }
 
 #[test]
-fn rendezvous_follows_weights_and_moves_only_keys_of_the_changed_weight() {
-    let mixed = |key: u64, server: u64| {
+fn rendezvous_follows_weights_and_moves_only_keys_that_the_changed_server_loses() {
+    let key_server_hash = |key: u64, server: u64| {
         let mut hasher = DefaultHasher::new();
         (key, server).hash(&mut hasher);
         hasher.finish()
     };
     let home = |key: u64, weights: &[f64]| {
-        let score = |s: &usize| rendezvous(mixed(key, *s as u64), weights[*s]);
+        let score = |s: &usize| rendezvous(key_server_hash(key, *s as u64), weights[*s]);
         (0..weights.len())
             .max_by(|a, b| score(a).total_cmp(&score(b)))
             .unwrap()
     };
-    let (even, less) = ([1.0, 1.0, 1.0, 1.0], [1.0, 0.5, 1.0, 1.0]);
+    let (equal_weights, half_weight_of_1) = ([1.0, 1.0, 1.0, 1.0], [1.0, 0.5, 1.0, 1.0]);
     let mut counts = [0; 4];
     for key in 0..8000 {
-        let (before, after) = (home(key, &even), home(key, &less));
+        let (before, after) = (home(key, &equal_weights), home(key, &half_weight_of_1));
         assert!(
             before == after || before == 1,
-            "a key of {before} moved to {after}"
+            "a key moved from server {before} to server {after}"
         );
         counts[after] += 1;
     }
-    let share = f64::from(counts[1]) / 8000.0;
+    let fraction = f64::from(counts[1]) / 8000.0;
     assert!(
-        (share - 0.5 / 3.5).abs() < 0.03,
-        "half a weight has {share:.3} of the keys"
+        (fraction - 0.5 / 3.5).abs() < 0.03,
+        "server 1 with half a weight has {fraction:.3} of the keys"
     );
 }
 
-/// At a quiet node a slow server has few attempts in flight, so it is not taken for a busy one: its silence
-/// counts.
+/// At a node with little traffic a slow server has few attempts in flight, so it is not considered busy: its
+/// attempts without a timely response count as evidence against it.
 #[test]
-fn slow_servers_lose_keys_at_a_quiet_node_too_and_regain_them_later() {
+fn slow_servers_lose_keys_at_a_node_with_little_traffic_and_regain_them_later() {
     let mut fleet = Fleet::new(SERVERS, 7);
-    fleet.every = 40_000;
+    fleet.request_interval = 40_000;
     fleet.run(40, |_, n| healthy(n));
     assert!(fleet.outliers().is_empty());
-    let calm: u32 = fleet.first_attempts()[..2].iter().sum();
+    let baseline: u32 = fleet.take_first_attempts()[..2].iter().sum();
     fleet.run(10, slow(2));
     assert_eq!(fleet.outliers(), [0, 1]);
-    fleet.first_attempts();
+    fleet.take_first_attempts();
     fleet.run(40, slow(2));
-    let now: u32 = fleet.first_attempts()[..2].iter().sum();
-    assert!(now * 2 < calm, "{now} first attempts, {calm} in calm");
+    let while_slow: u32 = fleet.take_first_attempts()[..2].iter().sum();
+    assert!(
+        while_slow * 2 < baseline,
+        "{while_slow} first attempts, {baseline} before"
+    );
     fleet.run(60, |_, n| healthy(n));
-    assert!(fleet.outliers().is_empty(), "all answer in time again");
+    assert!(
+        fleet.outliers().is_empty(),
+        "a server is still an outlier though all answer in time"
+    );
 }
 
 #[test]
@@ -482,14 +512,15 @@
     }
 }
 
-/// What is usual is learned over all servers: where the origin is slow, fetches are slow at each of them.
+/// Normal failure rates are learned over all servers: if the origin is slow, fetches are slow at each of
+/// them, and slow fetches soon count as normal.
 #[test]
-fn servers_retain_their_keys_when_fetches_are_slow_everywhere() {
+fn servers_retain_their_keys_when_fetches_are_slow_at_all_servers() {
     let mut fleet = Fleet::new(SERVERS, 7);
-    fleet.fresh = Some((0, 20_000));
+    fleet.new_key_latency = Some((0, 20_000));
     fleet.run(10, |_, n| healthy(n));
-    let calm: u32 = fleet.first_attempts().iter().sum();
-    fleet.fresh = Some((0, 130_000));
+    let baseline: u32 = fleet.take_first_attempts().iter().sum();
+    fleet.new_key_latency = Some((0, 130_000));
     let mut ejected = 0;
     for _ in 0..10 {
         fleet.run(1, |_, n| healthy(n));
@@ -497,37 +528,41 @@
     }
     assert!(
         ejected <= SERVERS,
-        "{ejected} cuts in ten looks at {SERVERS} servers"
+        "{ejected} ejected servers, summed over ten samples of {SERVERS} servers"
+    );
+    let while_slow: u32 = fleet.take_first_attempts().iter().sum();
+    assert!(
+        while_slow * 10 >= baseline * 9,
+        "{while_slow} first attempts, {baseline} before"
     );
-    let now: u32 = fleet.first_attempts().iter().sum();
-    assert!(now * 10 >= calm * 9, "{now} first attempts, {calm} in calm");
 }
 
-/// At a node with few requests nearly every key is one that was not served recently. A hundred such nodes
-/// went on sending to servers that answered none of them.
+/// At a node with little traffic nearly all requests are for keys that were not served recently. Guards
+/// against a failure in which a hundred such nodes kept sending requests to servers that answered none of
+/// them.
 #[test]
-fn silent_servers_are_left_within_seconds_at_a_quiet_node() {
-    const MANY: usize = 60;
-    let mut fleet = Fleet::new(MANY, 7);
-    fleet.every = 60_000;
-    fleet.fresh = Some((0, 25_000));
+fn silent_servers_lose_first_attempts_within_seconds_at_a_node_with_little_traffic() {
+    const MANY_SERVERS: usize = 60;
+    let mut fleet = Fleet::new(MANY_SERVERS, 7);
+    fleet.request_interval = 60_000;
+    fleet.new_key_latency = Some((0, 25_000));
     fleet.run(20, |_, n| healthy(n));
-    fleet.first_attempts();
-    let failing_server = |server: usize, n| {
-        if server < MANY / 5 {
+    fleet.take_first_attempts();
+    let first_fifth_silent = |server: usize, n| {
+        if server < MANY_SERVERS / 5 {
             (Status::Ok, 3_000_000)
         } else {
             healthy(n)
         }
     };
-    fleet.run(20, failing_server);
-    fleet.first_attempts();
-    fleet.run(20, failing_server);
-    let first = fleet.first_attempts();
-    let (at_bad, all): (u32, u32) = (first[..MANY / 5].iter().sum(), first.iter().sum());
-    // One in five, if nothing were learned.
+    fleet.run(20, first_fifth_silent);
+    fleet.take_first_attempts();
+    fleet.run(20, first_fifth_silent);
+    let first = fleet.take_first_attempts();
+    let (at_silent, all): (u32, u32) = (first[..MANY_SERVERS / 5].iter().sum(), first.iter().sum());
+    // Without outlier detection it would be one in five.
     assert!(
-        at_bad * 7 < all,
-        "{at_bad} of {all} first attempts at servers that answer nothing"
+        at_silent * 7 < all,
+        "{at_silent} of {all} first attempts at servers that never answer in time"
     );
 }
--- a/crates/decision/tests/stable_numbers.rs
+++ b/crates/decision/tests/stable_numbers.rs
@@ -1,8 +1,8 @@
-//! Numbers by which nodes agree without messages, written out: two versions in one fleet must compute the
-//! same ones. A failure here means that a new version would place keys differently from the version that it
-//! runs beside.
+//! Expected values of the hashes and random numbers from which all nodes derive the same placement of keys
+//! without exchanging messages. A failure means that a new version would place keys differently from an
+//! older version that runs in the same fleet.
 
-#[allow(dead_code, reason = "each test file uses its part")]
+#[allow(dead_code, reason = "each test file uses some of the helpers")]
 mod support;
 
 use sloewick_decision::api::Status;
@@ -11,7 +11,7 @@
 use sloewick_decision::rng::Rng;
 
 #[test]
-fn hash_of_a_name_is_stable() {
+fn hashes_of_names_are_stable() {
     for (name, expected) in [
         ("", 0xf52a_15e9_a9b5_e89b),
         ("a", 0x02c0_bdbf_4814_20f8),
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn mix_of_a_number_is_stable() {
+fn mixed_numbers_are_stable() {
     for (number, expected) in [
         (0, 0),
         (1, 0x5692_161d_100b_05e5),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn unit_interval_of_a_hash_is_stable_and_below_one() {
+fn unit_interval_positions_of_hashes_are_stable_and_below_one() {
     for (hash, expected) in [
         (0, 0.0),
         (1 << 11, 1.110_223_024_625_156_5e-16),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn generator_gives_the_same_numbers_for_a_seed() {
+fn random_numbers_of_a_seed_are_stable() {
     for (seed, expected) in [
         (
             0,
@@ -79,14 +79,18 @@
 }
 
 #[test]
-fn rendezvous_weight_of_a_server_is_stable() {
-    for (mixed, weight, expected) in [
+fn rendezvous_scores_are_stable() {
+    for (key_server_hash, weight, expected) in [
         (0, 1.0, 0.026_716_574_831_277_1),
         (hash("k1"), 1.0, 0.473_705_044_012_534_27),
         (hash("k1"), 2.5, 1.184_262_610_031_335_8),
         (hash("k2"), 0.0, 7.821_871_127_559_768e-10),
     ] {
-        assert_eq!(rendezvous(mixed, weight), expected, "{mixed} {weight}");
+        assert_eq!(
+            rendezvous(key_server_hash, weight),
+            expected,
+            "{key_server_hash} {weight}"
+        );
     }
 }
 
@@ -97,19 +101,22 @@
     let expected = [
         6, 8, 6, 4, 5, 1, 1, 7, 1, 0, 2, 3, 3, 5, 4, 9, 11, 3, 6, 3, 6, 4, 9, 5,
     ];
-    assert_eq!(fleet.burst(&keys), expected);
+    assert_eq!(fleet.send_at_once(&keys), expected);
 }
 
 #[test]
-fn secondaries_of_keys_of_an_ejected_server_are_stable() {
+fn secondary_servers_of_the_keys_of_an_ejected_server_are_stable() {
     let mut fleet = support::Fleet::new(12, 7);
     fleet.run(3, |server, _| match server {
         0 => (Status::Error, 5_000),
         _ => (Status::Ok, 20_000),
     });
     assert_eq!(fleet.outliers(), [0]);
-    let mut secondaries: Vec<(u64, usize)> =
-        fleet.second_to.iter().map(|(k, s)| (*k, *s)).collect();
+    let mut secondaries: Vec<(u64, usize)> = fleet
+        .later_attempt_servers
+        .iter()
+        .map(|(key, server)| (*key, *server))
+        .collect();
     secondaries.sort_unstable();
     let expected = [
         (1, 7),
@@ -138,11 +145,12 @@
     assert_eq!(secondaries, expected);
 }
 
-// A server whose draw is the highest there is was chosen last and not first: 53 bits and a half round to 1, whose logarithm is
-// 0, so that its score was minus infinity (one hash in 2^53). The score itself showed it: `rendezvous(u64::MAX, 1.0)` was -inf.
+/// Guards against a score of minus infinity for the highest hash: its draw, 53 one bits plus a half, rounds
+/// to 1, whose logarithm is 0. `rendezvous(u64::MAX, 1.0)` was -inf, so that the server with the highest draw
+/// was chosen last instead of first (one hash in 2^53).
 #[test]
-fn rendezvous_score_grows_with_the_draw_up_to_the_highest_one() {
-    let draws = [
+fn rendezvous_scores_are_finite_and_grow_with_the_hash_up_to_the_highest_one() {
+    let hashes = [
         0,
         1 << 11,
         1 << 62,
@@ -151,7 +159,7 @@
         u64::MAX,
     ];
     for weight in [0.0, 0.5, 1.0, 40.0] {
-        let scores = draws.map(|draw| rendezvous(draw, weight));
+        let scores = hashes.map(|hash| rendezvous(hash, weight));
         assert!(
             scores.iter().all(|score| score.is_finite() && *score > 0.0),
             "{scores:?}"
--- a/crates/decision/tests/support/mod.rs
+++ b/crates/decision/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A node's decisions with a fleet of scripted servers, on virtual time.
+//! The balancer of one node and the servers that it sends requests to, on virtual time. Tests supply the
+//! outcome of each attempt.
 
 mod settings;
 
@@ -9,47 +10,62 @@
 
 pub(crate) use settings::settings;
 
-/// Keys that are requested, evenly.
+/// Number of keys that are requested. They are equally popular unless [`Fleet::skewed_keys`] is set.
 const KEYS: u64 = 400;
 
-enum Pending {
-    Timer(u64),
-    Outcome(RequestId, usize, ServerId, Status, Micros),
+/// An event to be delivered to the balancer later.
+enum ScheduledEvent {
+    /// A timer with this token expires.
+    TimerExpired(u64),
+    /// An attempt ends: request, number of the attempt from 0, server, status and latency.
+    AttemptEnded(RequestId, usize, ServerId, Status, Micros),
 }
 
+/// One node's balancer with its servers `srv0`, `srv1` and so on. Servers are referred to by number.
 pub(crate) struct Fleet {
     balancer: Balancer,
     now: Micros,
-    due: BTreeMap<(Micros, u64), Pending>,
-    serial: u64,
-    requests_sent: u64,
-    /// Attempts so far and key of each request in flight.
+    /// Scheduled events, by time and then by the number of the action that caused them.
+    scheduled: BTreeMap<(Micros, u64), ScheduledEvent>,
+    /// Number of the last action.
+    action_number: u64,
+    /// Number of the last request. Starts at 2^32 times the seed, so that the keys that are requested
+    /// depend on the seed.
+    request_number: u64,
+    /// Number of attempts so far and key of each request in flight.
     in_flight: HashMap<RequestId, (usize, u64)>,
-    first: Vec<u32>,
-    second: Vec<u32>,
-    /// Keys whose first attempt went to each server.
-    pub(crate) first_keys: Vec<HashSet<u64>>,
-    /// Where the last second attempt for a key went.
-    pub(crate) second_to: HashMap<u64, usize>,
+    /// Number of first attempts at each server since `take_first_attempts`.
+    first_attempts: Vec<u32>,
+    /// Number of retries and hedged requests at each server since `take_later_attempts`.
+    later_attempts: Vec<u32>,
+    /// Keys of the first attempts at each server.
+    pub(crate) first_attempt_keys: Vec<HashSet<u64>>,
+    /// Server of the last retry or hedged request for each key.
+    pub(crate) later_attempt_servers: HashMap<u64, usize>,
     /// Time between two requests.
-    pub(crate) every: Micros,
-    /// Every third request is for a key that was never requested; at this server the answer takes so
-    /// long.
-    pub(crate) fresh: Option<(usize, Micros)>,
-    /// A key that every second request is for.
-    pub(crate) hot: Option<u64>,
-    /// Which server answered a key last.
+    pub(crate) request_interval: Micros,
+    /// If set, every third request is for a key that was never requested before. The servers from this
+    /// number on serve it after this latency; other servers answer it like any request.
+    pub(crate) new_key_latency: Option<(usize, Micros)>,
+    /// If set, every second request is for this key.
+    pub(crate) hot_key: Option<u64>,
+    /// Server that served each key last.
     pub(crate) served_by: HashMap<u64, usize>,
-    /// Low keys are requested much more often than high ones.
-    pub(crate) skewed: bool,
-    /// Where the first attempt for a key went last, and how many went elsewhere than the one before.
-    home: HashMap<u64, usize>,
-    pub(crate) moved: u32,
+    /// Whether keys with low numbers are requested much more often than those with high ones.
+    pub(crate) skewed_keys: bool,
+    /// Server of the last first attempt for each key.
+    first_attempt_servers: HashMap<u64, usize>,
+    /// Number of requests whose first attempt went to another server than the previous one for the key.
+    pub(crate) moved_requests: u32,
+    /// Number of requests that were served since `reset_ended_requests`.
     served: u64,
+    /// Number of requests with any final response since `reset_ended_requests`.
     ended: u64,
 }
 
 impl Fleet {
+    /// Lists `servers` live servers to a new balancer. The seed determines the random numbers of the
+    /// balancer and the keys that are requested.
     pub(crate) fn new(servers: usize, seed: u64) -> Fleet {
         let mut balancer = Balancer::new(settings(), seed, 0).unwrap();
         let entries: Vec<Endpoint> = (0..servers).map(|i| entry(i, None)).collect();
@@ -61,71 +77,73 @@
         Fleet {
             balancer,
             now: 0,
-            due: BTreeMap::new(),
-            serial: 0,
-            requests_sent: seed << 32,
+            scheduled: BTreeMap::new(),
+            action_number: 0,
+            request_number: seed << 32,
             in_flight: HashMap::new(),
-            first: vec![0; servers],
-            second: vec![0; servers],
-            first_keys: vec![HashSet::new(); servers],
-            second_to: HashMap::new(),
-            every: 4_000,
-            fresh: None,
-            hot: None,
+            first_attempts: vec![0; servers],
+            later_attempts: vec![0; servers],
+            first_attempt_keys: vec![HashSet::new(); servers],
+            later_attempt_servers: HashMap::new(),
+            request_interval: 4_000,
+            new_key_latency: None,
+            hot_key: None,
             served_by: HashMap::new(),
-            skewed: false,
-            home: HashMap::new(),
-            moved: 0,
+            skewed_keys: false,
+            first_attempt_servers: HashMap::new(),
+            moved_requests: 0,
             served: 0,
             ended: 0,
         }
     }
 
-    /// The checkpoint for the next process.
+    /// Takes the checkpoint that the next process of the node restores.
     pub(crate) fn checkpoint(&self) -> Checkpoint {
         self.balancer.checkpoint(self.now)
     }
 
-    /// Another process goes on for the node, with a checkpoint and its age.
-    pub(crate) fn next_process(&mut self, restored: Option<(Micros, Checkpoint)>) {
+    /// Replaces the node's process by a new one without requests in flight, which restores a checkpoint of
+    /// this age if there is one.
+    pub(crate) fn start_next_process(&mut self, restored: Option<(Micros, Checkpoint)>) {
         self.balancer = Balancer::new(settings(), 99, self.now).unwrap();
         self.in_flight.clear();
-        self.due.clear();
+        self.scheduled.clear();
         if let Some((age, checkpoint)) = restored {
             self.balancer.restore(self.now, age, checkpoint);
         }
     }
 
-    /// An endpoint list with these servers, and when each last started.
-    pub(crate) fn list(&mut self, servers: &[(usize, Option<Micros>)]) {
+    /// Delivers a full endpoint list with these servers and the time of their last start (None: long ago).
+    pub(crate) fn deliver_full_list(&mut self, servers: &[(usize, Option<Micros>)]) {
         let entries: Vec<Endpoint> = servers
             .iter()
             .map(|(i, started)| entry(*i, *started))
             .collect();
-        let list_change = Event::EndpointList(EndpointListKind::Full, entries.into());
-        self.balancer.handle(self.now, list_change, &mut Vec::new());
+        let full_list = Event::EndpointList(EndpointListKind::Full, entries.into());
+        self.balancer.handle(self.now, full_list, &mut Vec::new());
     }
 
-    /// Another process runs now where this server was, warm already.
-    pub(crate) fn restart(&mut self, server: usize) {
-        self.list_change(entry(server, Some(self.now - 60_000_000)));
+    /// Announces that another process has taken the server's place. It started a minute ago and is warm.
+    pub(crate) fn announce_restart(&mut self, server: usize) {
+        self.deliver_change(entry(server, Some(self.now - 60_000_000)));
     }
 
-    /// The server is removed from the endpoint list, and then listed as before.
-    pub(crate) fn leave_and_return(&mut self, server: usize) {
-        self.list_change(Endpoint {
+    /// Announces that the server is removed from the endpoint list, and then that it is live again.
+    pub(crate) fn remove_and_relist(&mut self, server: usize) {
+        self.deliver_change(Endpoint {
             state: ServerState::Removed,
             ..entry(server, None)
         });
-        self.list_change(entry(server, None));
+        self.deliver_change(entry(server, None));
     }
 
-    fn list_change(&mut self, entry: Endpoint) {
-        let list_change = Event::EndpointList(EndpointListKind::Delta, [entry].into());
-        self.balancer.handle(self.now, list_change, &mut Vec::new());
+    fn deliver_change(&mut self, entry: Endpoint) {
+        let change = Event::EndpointList(EndpointListKind::Delta, [entry].into());
+        self.balancer.handle(self.now, change, &mut Vec::new());
     }
 
-    /// Sends requests for some seconds; `answer` gives how an attempt at a server ends, and after how long.
+    /// Sends requests for this many seconds. `answer` returns status and latency of an attempt, given the
+    /// number of its server and a number that no other attempt has.
     pub(crate) fn run(
         &mut self,
         seconds: i64,
@@ -134,15 +152,15 @@
         let end = self.now + seconds * 1_000_000;
         let mut next = self.now;
         while next < end {
-            match self.due.first_key_value().map(|(at, _)| *at) {
-                Some(at) if at.0 <= next => {
-                    let due = self.due.remove(&at).unwrap();
-                    self.now = at.0;
-                    self.deliver(due, &mut answer);
+            match self.scheduled.first_key_value().map(|(key, _)| *key) {
+                Some(key) if key.0 <= next => {
+                    let event = self.scheduled.remove(&key).unwrap();
+                    self.now = key.0;
+                    self.deliver(event, &mut answer);
                 }
                 _ => {
                     self.now = next;
-                    next += self.every;
+                    next += self.request_interval;
                     self.send_request(&mut answer);
                 }
             }
@@ -150,34 +168,37 @@
     }
 
     fn send_request(&mut self, answer: &mut impl FnMut(usize, u64) -> (Status, Micros)) {
-        self.requests_sent += 1;
-        let key = (self.requests_sent.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) % KEYS;
-        let hot = self.hot.filter(|_| self.requests_sent.is_multiple_of(2));
-        let part = key as f64 / KEYS as f64;
-        let key = if self.skewed {
-            (part * part * KEYS as f64) as u64
+        self.request_number += 1;
+        let key = (self.request_number.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 33) % KEYS;
+        let hot_key = self
+            .hot_key
+            .filter(|_| self.request_number.is_multiple_of(2));
+        let fraction = key as f64 / KEYS as f64;
+        let key = if self.skewed_keys {
+            (fraction * fraction * KEYS as f64) as u64
         } else {
             key
         };
-        let key = if self.fresh.is_some() && self.requests_sent.is_multiple_of(3) {
-            KEYS + self.requests_sent
+        let key = if self.new_key_latency.is_some() && self.request_number.is_multiple_of(3) {
+            KEYS + self.request_number
         } else {
             key
         };
-        self.send_request_for(hot.unwrap_or(key), answer);
+        self.send_request_for(hot_key.unwrap_or(key), answer);
     }
 
-    /// Requests keys all at once, each answered after 20 ms; where the first attempt for each went.
-    pub(crate) fn burst(&mut self, keys: &[u64]) -> Vec<usize> {
-        let mut went = Vec::new();
+    /// Sends a request for each key at the same time; all are served after 20 ms. Returns the server of each
+    /// first attempt.
+    pub(crate) fn send_at_once(&mut self, keys: &[u64]) -> Vec<usize> {
+        let mut servers = Vec::new();
         for key in keys {
-            self.requests_sent += 1;
-            let before = self.first.clone();
+            self.request_number += 1;
+            let before = self.first_attempts.clone();
             self.send_request_for(*key, &mut |_, _| (Status::Ok, 20_000));
-            let to = (0..before.len()).find(|i| self.first[*i] > before[*i]);
-            went.push(to.expect("the first attempt goes out at once"));
+            let server = (0..before.len()).find(|i| self.first_attempts[*i] > before[*i]);
+            servers.push(server.expect("the first attempt is sent immediately"));
         }
-        went
+        servers
     }
 
     fn send_request_for(
@@ -185,7 +206,7 @@
         key: u64,
         answer: &mut impl FnMut(usize, u64) -> (Status, Micros),
     ) {
-        let id: RequestId = format!("r{}", self.requests_sent).into();
+        let id: RequestId = format!("r{}", self.request_number).into();
         self.in_flight.insert(id.clone(), (0, key));
         let request = Request {
             id,
@@ -201,14 +222,18 @@
         self.handle(Event::Request(request), answer);
     }
 
-    fn deliver(&mut self, due: Pending, answer: &mut impl FnMut(usize, u64) -> (Status, Micros)) {
-        match due {
-            Pending::Timer(token) => self.handle(Event::TimerExpired(token), answer),
-            Pending::Outcome(request, attempt, server, status, latency) => {
+    fn deliver(
+        &mut self,
+        event: ScheduledEvent,
+        answer: &mut impl FnMut(usize, u64) -> (Status, Micros),
+    ) {
+        match event {
+            ScheduledEvent::TimerExpired(token) => self.handle(Event::TimerExpired(token), answer),
+            ScheduledEvent::AttemptEnded(request, attempt, server, status, latency) => {
                 let in_flight = self.in_flight.get(&request).copied();
                 let closed = status == Status::Ok && in_flight.is_some();
                 if let Some((_, key)) = in_flight.filter(|_| closed) {
-                    self.served_by.insert(key, number(&server));
+                    self.served_by.insert(key, server_number(&server));
                     self.in_flight.remove(&request);
                     (self.served, self.ended) = (self.served + 1, self.ended + 1);
                 }
@@ -233,7 +258,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.serial += 1;
+            self.action_number += 1;
             match action {
                 Action::Send {
                     request, server, ..
@@ -241,34 +266,40 @@
                     let in_flight = self
                         .in_flight
                         .get_mut(&request)
-                        .expect("only open requests are sent");
-                    let (attempt, which) = (in_flight.0, number(&server));
+                        .expect("attempts are sent only for requests in flight");
+                    let (attempt, number) = (in_flight.0, server_number(&server));
                     in_flight.0 += 1;
                     let counts = if attempt == 0 {
-                        &mut self.first
+                        &mut self.first_attempts
                     } else {
-                        &mut self.second
+                        &mut self.later_attempts
                     };
-                    counts[which] += 1;
+                    counts[number] += 1;
                     if attempt == 0 {
-                        self.first_keys[which].insert(in_flight.1);
-                        let before = self.home.insert(in_flight.1, which);
-                        self.moved += u32::from(before.is_some_and(|before| before != which));
+                        self.first_attempt_keys[number].insert(in_flight.1);
+                        let before = self.first_attempt_servers.insert(in_flight.1, number);
+                        self.moved_requests +=
+                            u32::from(before.is_some_and(|before| before != number));
                     } else {
-                        self.second_to.insert(in_flight.1, which);
+                        self.later_attempt_servers.insert(in_flight.1, number);
                     }
                     let key = in_flight.1;
-                    let (status, latency) =
-                        match self.fresh.filter(|(from, _)| which >= *from && key >= KEYS) {
-                            Some((_, fetch)) => (Status::Ok, fetch),
-                            None => answer(which, self.serial),
-                        };
-                    let due = Pending::Outcome(request, attempt, server, status, latency);
-                    self.due.insert((self.now + latency, self.serial), due);
+                    let (status, latency) = match self
+                        .new_key_latency
+                        .filter(|(from, _)| number >= *from && key >= KEYS)
+                    {
+                        Some((_, latency)) => (Status::Ok, latency),
+                        None => answer(number, self.action_number),
+                    };
+                    let event =
+                        ScheduledEvent::AttemptEnded(request, attempt, server, status, latency);
+                    self.scheduled
+                        .insert((self.now + latency, self.action_number), event);
                 }
                 Action::SetTimer { delay, token } => {
-                    self.due
-                        .insert((self.now + delay, self.serial), Pending::Timer(token));
+                    let key = (self.now + delay, self.action_number);
+                    self.scheduled
+                        .insert(key, ScheduledEvent::TimerExpired(token));
                 }
                 Action::Reject { request, .. } | Action::Fail { request } => {
                     self.in_flight.remove(&request);
@@ -279,34 +310,39 @@
         }
     }
 
-    /// Servers that retain only a fraction of their keys.
+    /// Returns the servers that retain only a fraction of their keys.
     pub(crate) fn outliers(&self) -> Vec<usize> {
-        let kept = |i: &usize| self.balancer.retained_fraction(&entry(*i, None).server);
-        (0..self.first.len()).filter(|i| kept(i) < 1.0).collect()
+        let retained = |i: &usize| self.balancer.retained_fraction(&entry(*i, None).server);
+        (0..self.first_attempts.len())
+            .filter(|i| retained(i) < 1.0)
+            .collect()
     }
 
-    /// First attempts at each server since the last call.
-    pub(crate) fn first_attempts(&mut self) -> Vec<u32> {
-        let none = vec![0; self.first.len()];
-        std::mem::replace(&mut self.first, none)
+    /// Returns the number of first attempts at each server and sets it back to 0.
+    pub(crate) fn take_first_attempts(&mut self) -> Vec<u32> {
+        let zeros = vec![0; self.first_attempts.len()];
+        std::mem::replace(&mut self.first_attempts, zeros)
     }
 
-    /// Later attempts at each server since the last call.
-    pub(crate) fn second_attempts(&mut self) -> Vec<u32> {
-        let none = vec![0; self.second.len()];
-        std::mem::replace(&mut self.second, none)
+    /// Returns the number of retries and hedged requests at each server and sets it back to 0.
+    pub(crate) fn take_later_attempts(&mut self) -> Vec<u32> {
+        let zeros = vec![0; self.later_attempts.len()];
+        std::mem::replace(&mut self.later_attempts, zeros)
     }
 
-    /// Requests served, and all that ended, since `clear_ends`.
-    pub(crate) fn ends(&self) -> (u64, u64) {
+    /// Returns the number of requests served and of requests with any final response since
+    /// `reset_ended_requests`.
+    pub(crate) fn ended_requests(&self) -> (u64, u64) {
         (self.served, self.ended)
     }
 
-    pub(crate) fn clear_ends(&mut self) {
+    /// Sets the counts of [`Fleet::ended_requests`] back to 0.
+    pub(crate) fn reset_ended_requests(&mut self) {
         (self.served, self.ended) = (0, 0);
     }
 }
 
+/// The endpoint list entry of a live server of zone 0 and kind 0.
 pub(crate) fn entry(i: usize, started: Option<Micros>) -> Endpoint {
     Endpoint {
         server: format!("srv{i}").into(),
@@ -319,9 +355,9 @@
     }
 }
 
-fn number(server: &ServerId) -> usize {
+fn server_number(server: &ServerId) -> usize {
     server
         .trim_start_matches("srv")
         .parse()
-        .expect("servers are named by number")
+        .expect("a server name is `srv` and a number")
 }
--- a/crates/decision/tests/support/settings.rs
+++ b/crates/decision/tests/support/settings.rs
@@ -1,4 +1,4 @@
-//! The settings that tests and benches begin from. A test states what it changes: `Settings { nodes: 6,
+//! Default settings of the tests and benches. A test overrides single fields: `Settings { nodes: 6,
 //! ..settings() }`.
 
 use sloewick_decision::api::{
@@ -20,7 +20,8 @@
     }
 }
 
-/// Two nodes that poll the endpoint list, read-through caches, no tenants.
+/// Settings of a site with two nodes that poll the endpoint list, with read-through caches and without
+/// tenants.
 pub(crate) fn settings() -> Settings {
     Settings {
         classes: vec![class()],
