--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The rules, checked from the actions alone under random events from fixed seeds.
+//! Checks that the actions of the balancer obey the rules for attempts and final responses, under random
+//! events from fixed seeds. The checks use only the events and the actions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -58,10 +59,11 @@
     }
 }
 
-/// An attempt as the node knows it.
+/// An attempt that the balancer has sent.
 struct Attempt {
     server: ServerId,
     sent: Micros,
+    /// None while it is pending.
     status: Option<Status>,
 }
 
@@ -71,25 +73,35 @@
     }
 }
 
-struct Open {
+/// A request that the balancer was given, and its attempts so far.
+struct RequestRecord {
     class: usize,
+    /// When the client gives up.
     deadline: Micros,
+    /// Whether it has its final response, or its client has disconnected.
     closed: bool,
+    /// Whether the balancer was told to send no further attempts.
     attempts_stopped: bool,
     attempts: Vec<Attempt>,
 }
 
-/// A node around the module that knows only events and actions, and checks the rules.
+/// A node that gives events to a balancer and checks that the actions obey the rules.
 struct Node {
     settings: Settings,
     balancer: Balancer,
     now: Micros,
-    open: BTreeMap<RequestId, Open>,
+    /// All requests so far, including closed ones.
+    requests: BTreeMap<RequestId, RequestRecord>,
+    /// Tokens of the running timers, by expiry time and serial number.
     timers: BTreeMap<(Micros, u64), u64>,
+    /// Serial number of the last request or timer.
     serial: u64,
+    /// The last entry of each server that was ever listed.
     listed: HashMap<ServerId, Endpoint>,
-    removed: HashMap<ServerId, Micros>,
-    calls: usize,
+    /// Servers that are draining, removed or missing from a list, and since when.
+    unavailable_since: HashMap<ServerId, Micros>,
+    /// Number of actions so far that subscribe to the endpoint list, unsubscribe or fetch it.
+    endpoint_list_calls: usize,
 }
 
 const STATUSES: [Status; 9] = [
@@ -105,21 +117,22 @@
 ];
 
 impl Node {
-    fn new(set: Settings, seed: u64) -> Node {
-        let balancer = Balancer::new(set.clone(), seed, 0).unwrap();
+    fn new(settings: Settings, seed: u64) -> Node {
+        let balancer = Balancer::new(settings.clone(), seed, 0).unwrap();
         Node {
-            settings: set,
+            settings,
             balancer,
             now: 0,
-            open: BTreeMap::new(),
+            requests: BTreeMap::new(),
             timers: BTreeMap::new(),
             serial: 0,
             listed: HashMap::new(),
-            removed: HashMap::new(),
-            calls: 0,
+            unavailable_since: HashMap::new(),
+            endpoint_list_calls: 0,
         }
     }
 
+    /// The endpoint list entry of the server `srv{i}`.
     fn entry(&self, i: u32, state: ServerState) -> Endpoint {
         Endpoint {
             server: format!("srv{i}").into(),
@@ -132,39 +145,43 @@
         }
     }
 
-    fn list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) {
+    /// Gives the balancer an endpoint list.
+    fn deliver_list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         if kind != EndpointListKind::Delta {
             for (id, _) in self
                 .listed
                 .iter()
                 .filter(|(id, _)| !entries.iter().any(|e| e.server == **id))
             {
-                self.removed.entry(id.clone()).or_insert(self.now);
+                self.unavailable_since.entry(id.clone()).or_insert(self.now);
             }
         }
-        for e in &entries {
-            self.listed.insert(e.server.clone(), e.clone());
-            if e.state == ServerState::Live {
-                self.removed.remove(&e.server);
+        for entry in &entries {
+            self.listed.insert(entry.server.clone(), entry.clone());
+            if entry.state == ServerState::Live {
+                self.unavailable_since.remove(&entry.server);
             } else {
-                self.removed.entry(e.server.clone()).or_insert(self.now);
+                self.unavailable_since
+                    .entry(entry.server.clone())
+                    .or_insert(self.now);
             }
         }
-        self.give(Event::EndpointList(kind, entries.into()));
+        self.handle(Event::EndpointList(kind, entries.into()));
     }
 
-    fn request(&mut self, class: usize, key: u32, budget: Micros) {
+    /// Gives the balancer a request. `key` determines its key, its tenant and whether it is a write.
+    fn send_request(&mut self, class: usize, key: u32, budget: Micros) {
         self.serial += 1;
         let id: RequestId = format!("r{}", self.serial).into();
-        let open = Open {
+        let record = RequestRecord {
             class,
             deadline: self.now + budget,
             closed: false,
             attempts_stopped: false,
             attempts: vec![],
         };
-        self.open.insert(id.clone(), open);
-        self.give(Event::Request(Request {
+        self.requests.insert(id.clone(), record);
+        self.handle(Event::Request(Request {
             id,
             class,
             tenant: key.is_multiple_of(2).then_some(0),
@@ -177,12 +194,14 @@
         }));
     }
 
-    fn outcome(&mut self, pick: u32, status: u32) {
+    /// Ends one of the pending attempts, if there are any. `pick` determines which one, `status` its status.
+    fn end_attempt(&mut self, pick: u32, status: u32) {
         let pending: Vec<(RequestId, usize)> = self
-            .open
+            .requests
             .iter()
-            .flat_map(|(id, o)| {
-                o.attempts
+            .flat_map(|(id, request)| {
+                request
+                    .attempts
                     .iter()
                     .enumerate()
                     .filter(|(_, a)| a.status.is_none())
@@ -194,11 +213,11 @@
         }
         let (id, attempt) = pending[pick as usize % pending.len()].clone();
         let status = STATUSES[status as usize % STATUSES.len()];
-        let o = self.open.get_mut(&id).unwrap();
-        o.attempts[attempt].status = Some(status);
-        o.closed |= status == Status::Ok;
-        let (closed, server) = (o.closed, o.attempts[attempt].server.clone());
-        self.give(Event::AttemptEnded(AttemptOutcome {
+        let request = self.requests.get_mut(&id).unwrap();
+        request.attempts[attempt].status = Some(status);
+        request.closed |= status == Status::Ok;
+        let (closed, server) = (request.closed, request.attempts[attempt].server.clone());
+        self.handle(Event::AttemptEnded(AttemptOutcome {
             request: id,
             server,
             attempt,
@@ -210,58 +229,67 @@
         }));
     }
 
-    fn pass(&mut self, time: Micros) {
+    /// Advances the time, delivers the timers that expire meanwhile, and checks that no request is unanswered
+    /// after its deadline.
+    fn advance(&mut self, time: Micros) {
         let until = self.now + time;
         while let Some((&(due, n), &token)) = self.timers.first_key_value() {
             if due > until {
                 break;
             }
             self.timers.remove(&(due, n));
-            // Batches come a tick apart: the timer is delivered up to one late.
+            // Events are delivered in batches a tick apart: a timer is up to one tick late.
             self.now = self.now.max(due + self.settings.tick);
-            self.give(Event::TimerExpired(token));
+            self.handle(Event::TimerExpired(token));
         }
         self.now = self.now.max(until);
-        for o in self.open.values() {
+        for (id, request) in &self.requests {
             assert!(
-                o.closed
-                    || self.now <= o.deadline + self.settings.answer_slack + self.settings.tick,
-                "unanswered"
+                request.closed
+                    || self.now
+                        <= request.deadline + self.settings.answer_slack + self.settings.tick,
+                "no final response to {id} at {}, deadline {}",
+                self.now,
+                request.deadline
             );
         }
     }
 
-    fn give(&mut self, event: Event) {
+    /// Gives the balancer an event and checks the resulting actions.
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
-            self.check(action);
+            self.check_action(action);
         }
     }
 
-    fn check(&mut self, action: Action) {
+    fn check_action(&mut self, action: Action) {
         match action {
             Action::Send {
                 request, server, ..
             } => self.check_send(&request, server),
             Action::Reject { request, .. } => {
-                let open = self
-                    .open
+                let record = self
+                    .requests
                     .get(&request)
-                    .expect("rejection of a request never given");
-                let class = &self.settings.classes[open.class];
-                let ran = open.attempts.iter().any(Attempt::may_have_run);
-                let harmless = class.idempotency == Idempotency::Idempotent
+                    .expect("only requests that the balancer was given are rejected");
+                let class = &self.settings.classes[record.class];
+                let may_have_run = record.attempts.iter().any(Attempt::may_have_run);
+                let is_retry_harmless = class.idempotency == Idempotency::Idempotent
                     || (class.idempotency == Idempotency::Keyed
                         && class.deduplication_scope == DeduplicationScope::All);
-                assert!(harmless || !ran, "rejected what may have run");
-                self.check_final_answer(&request);
+                assert!(
+                    is_retry_harmless || !may_have_run,
+                    "{request} was rejected although it may have run and a retry may not be harmless"
+                );
+                self.check_final_response(&request);
             }
-            Action::Fail { request } => self.check_final_answer(&request),
+            Action::Fail { request } => self.check_final_response(&request),
             Action::Cancel { request, attempt } => {
                 assert!(
-                    self.open[&request].attempts.len() > attempt,
-                    "cancelled what was never sent"
+                    self.requests[&request].attempts.len() > attempt,
+                    "attempt {attempt} of {request} was cancelled but never sent"
                 );
             }
             Action::SetTimer { delay, token } => {
@@ -269,7 +297,7 @@
                 self.serial += 1;
                 self.timers.insert((self.now + delay, self.serial), token);
             }
-            Action::Subscribe(_) | Action::FetchEndpointList => self.calls += 1,
+            Action::Subscribe(_) | Action::FetchEndpointList => self.endpoint_list_calls += 1,
             Action::Probe(_) => assert!(self.settings.probes),
             Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
@@ -277,92 +305,107 @@
 
     fn check_send(&mut self, request: &RequestId, server: ServerId) {
         let now = self.now;
-        let open = self
-            .open
+        let record = self
+            .requests
             .get_mut(request)
-            .expect("send for a request never given");
-        assert!(!open.closed, "send after the end");
+            .expect("attempts are sent only for requests that the balancer was given");
+        assert!(!record.closed, "attempt for {request}, which has ended");
         assert!(
-            !open.attempts_stopped,
-            "sent though its client has disconnected"
+            !record.attempts_stopped,
+            "attempt for {request} after its attempts were stopped"
         );
         assert!(
-            open.attempts.len() < self.settings.max_attempts,
-            "too many attempts"
+            record.attempts.len() < self.settings.max_attempts,
+            "more than {} attempts for {request}",
+            self.settings.max_attempts
         );
-        let to = self.listed.get(&server).expect("server never listed");
-        if let Some(removed) = self.removed.get(&server) {
+        let target = self
+            .listed
+            .get(&server)
+            .expect("attempt at a listed server");
+        if let Some(since) = self.unavailable_since.get(&server) {
             assert!(
-                now - removed <= self.settings.drain_grace,
-                "sent to a server that is draining or removed"
+                now - since <= self.settings.drain_grace,
+                "attempt for {request} at {server}, which is draining or removed since {since}, at {now}"
             );
         }
-        let pending = open.attempts.iter().filter(|a| a.status.is_none()).count();
+        let pending = record
+            .attempts
+            .iter()
+            .filter(|a| a.status.is_none())
+            .count();
         assert!(
             pending == 0 || self.settings.hedging,
-            "two attempts at once"
+            "two pending attempts for {request} without hedging"
         );
-        let class = &self.settings.classes[open.class];
-        for other in open.attempts.iter().filter(|a| a.may_have_run()) {
-            let from = &self.listed[&other.server];
+        let class = &self.settings.classes[record.class];
+        for other in record.attempts.iter().filter(|a| a.may_have_run()) {
+            let previous = &self.listed[&other.server];
             match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("request without idempotency sent again"),
+                Idempotency::NonIdempotent => panic!("retry of {request}, which is not idempotent"),
                 Idempotency::Keyed => {
                     assert!(
                         now <= other.sent + class.deduplication_window,
-                        "sent again after the window"
+                        "retry of {request} after its deduplication window"
                     );
                     match class.deduplication_scope {
                         DeduplicationScope::All => {}
-                        DeduplicationScope::Zone => assert_eq!(from.zone, to.zone),
-                        DeduplicationScope::Cell => assert_eq!(from.cell, to.cell),
+                        DeduplicationScope::Zone => assert_eq!(previous.zone, target.zone),
+                        DeduplicationScope::Cell => assert_eq!(previous.cell, target.cell),
                     }
                 }
             }
         }
-        open.attempts.push(Attempt {
+        record.attempts.push(Attempt {
             server,
             sent: now,
             status: None,
         });
     }
 
-    fn check_final_answer(&mut self, request: &RequestId) {
-        let open = self
-            .open
+    fn check_final_response(&mut self, request: &RequestId) {
+        let record = self
+            .requests
             .get_mut(request)
-            .expect("final answer to a request never given");
-        assert!(!open.closed, "two final answers");
+            .expect("only requests that the balancer was given get a final response");
+        assert!(
+            !record.closed,
+            "final response to {request}, which has ended"
+        );
         assert!(
-            self.now <= open.deadline + self.settings.answer_slack,
-            "answered too late"
+            self.now <= record.deadline + self.settings.answer_slack,
+            "final response to {request} at {}, deadline {}",
+            self.now,
+            record.deadline
         );
-        open.closed = true;
+        record.closed = true;
     }
 
-    fn play(&mut self, ops: &[(u8, u32, u32)]) {
+    /// Performs a sequence of operations, each given by its kind and two parameters, and then waits until all
+    /// requests must have their final response.
+    fn run(&mut self, ops: &[(u8, u32, u32)]) {
         for &(op, a, b) in ops {
             match op % 12 {
                 0..=3 => {
-                    self.request(
+                    self.send_request(
                         a as usize % self.settings.classes.len(),
                         b,
                         [600_000, 200_000, 40_000, 3_000][(a / 5 % 4) as usize],
                     );
                 }
-                4..=7 => self.outcome(a, b),
-                8 => self.pass(i64::from(a % if b % 3 == 0 { 900_000 } else { 60_000 })),
+                4..=7 => self.end_attempt(a, b),
+                8 => self.advance(i64::from(a % if b % 3 == 0 { 900_000 } else { 60_000 })),
                 9 => {
-                    let state = [
+                    let states = [
                         ServerState::Live,
                         ServerState::Draining,
                         ServerState::Removed,
                     ];
-                    let e = self.entry(b % 8, state[(a % 3) as usize]);
-                    self.list(
+                    let entry = self.entry(b % 8, states[(a % 3) as usize]);
+                    self.deliver_list(
                         EndpointListKind::Delta,
-                        if a % 7 == 0 { vec![] } else { vec![e] },
+                        if a % 7 == 0 { vec![] } else { vec![entry] },
                     );
                 }
                 10 => {
@@ -373,41 +416,41 @@
                     };
                     let entries = (0..8).filter(|i| b >> i & 1 == 1);
                     let entries = entries.map(|i| self.entry(i, ServerState::Live)).collect();
-                    self.list(kind, entries);
+                    self.deliver_list(kind, entries);
                 }
                 _ => {
-                    let mut ids: Vec<RequestId> = self.open.keys().cloned().collect();
+                    let mut ids: Vec<RequestId> = self.requests.keys().cloned().collect();
                     if a % 3 == 1 && !ids.is_empty() {
                         let id = ids.swap_remove(b as usize % ids.len());
-                        self.open.get_mut(&id).unwrap().attempts_stopped = true;
-                        self.give(Event::StopAttempts(id.clone()));
-                        let o = &self.open[&id];
-                        let out = o.attempts.iter().any(|a| a.status.is_none());
+                        self.requests.get_mut(&id).unwrap().attempts_stopped = true;
+                        self.handle(Event::StopAttempts(id.clone()));
+                        let request = &self.requests[&id];
+                        let has_pending = request.attempts.iter().any(|a| a.status.is_none());
                         assert!(
-                            o.closed || out,
-                            "no attempt is pending, and it has no answer"
+                            request.closed || has_pending,
+                            "{id} has neither a pending attempt nor a final response"
                         );
                     } else if a % 3 == 0 && !ids.is_empty() {
                         let id = ids.swap_remove(b as usize % ids.len());
-                        self.open.get_mut(&id).unwrap().closed = true;
-                        self.give(Event::ClientDisconnected(id));
+                        self.requests.get_mut(&id).unwrap().closed = true;
+                        self.handle(Event::ClientDisconnected(id));
                     } else {
-                        self.give(Event::EndpointListFailed);
+                        self.handle(Event::EndpointListFailed);
                     }
                 }
             }
         }
-        // Nothing else happens: the timers alone must bring every answer in time.
-        self.pass(5_000_000);
+        // No more events but timers: they alone must lead to a final response to each request in time.
+        self.advance(5_000_000);
         assert!(
-            self.open.values().all(|o| o.closed),
-            "a request was never answered"
+            self.requests.values().all(|request| request.closed),
+            "a request has no final response"
         );
     }
 }
 
 #[test]
-fn rules_hold_under_random_events() {
+fn actions_obey_the_rules_under_random_events() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -424,35 +467,37 @@
         ops,
     );
     runner
-        .run(&case, |(hedging, aside, poll, seed, ops)| {
-            let mode = if aside {
+        .run(&case, |(hedging, cache_aside, poll, seed, ops)| {
+            let mode = if cache_aside {
                 CacheMode::CacheAside
             } else {
                 CacheMode::ReadThrough
             };
-            Node::new(settings(hedging, mode, poll), seed).play(&ops);
+            Node::new(settings(hedging, mode, poll), seed).run(&ops);
             Ok(())
         })
         .unwrap();
 }
 
-/// Settings that no deployment has and any could: names, idempotency, groups, times from milliseconds to a
-/// minute, with and without zones, tenants, hedging, cancelling.
+/// Generates valid settings, including unusual ones: any class names, idempotency and deduplication scopes,
+/// times from milliseconds to a minute, with and without zones, tenants, hedging and cancelling.
 fn arbitrary_settings() -> impl Strategy<Value = serde_json::Value> {
     let times = || prop_oneof![1.0..50.0, 50.0..2_000.0, 2_000.0..60_000.0];
-    let word = |words: &'static [&'static str]| prop::sample::select(words);
+    let one_of = |words: &'static [&'static str]| prop::sample::select(words);
     let class = (
         "[a-z\u{e9} _./-]{1,12}",
         (times(), times(), times()),
-        word(&["free", "guarded", "single_shot"]),
-        word(&["all", "zone", "cell"]),
+        one_of(&["free", "guarded", "single_shot"]),
+        one_of(&["all", "zone", "cell"]),
         (0.0..20.0, 0.0..1.0, any::<bool>()),
     );
-    let class = class.prop_map(|(name, (latency_objective, deadline, window), repeat, scope, (worth, late, stream))| {
-        serde_json::json!({"name": name, "aim": latency_objective, "deadline": deadline, "window": window, "repeat": repeat,
-            "dedup_scope": scope, "worth": worth, "late_share": late, "stream": stream})
+    let class = class.prop_map(|(name, times, idempotency, scope, (weight, late_weight, stream))| {
+        let (objective, deadline, window) = times;
+        serde_json::json!({"name": name, "aim": objective, "deadline": deadline, "window": window,
+            "repeat": idempotency, "dedup_scope": scope, "worth": weight, "late_share": late_weight,
+            "stream": stream})
     });
-    let realm = ("[a-z]{1,6}", 0.0..500.0, 0.0..1.0).prop_map(
+    let tenant = ("[a-z]{1,6}", 0.0..500.0, 0.0..1.0).prop_map(
         |(name, quota, share)| serde_json::json!({"name": name, "quota_per_s": quota, "share": share}),
     );
     let limits = (
@@ -472,35 +517,35 @@
         1.0..20_000.0,
     );
     let rest = (
-        word(&["push", "ask"]),
-        word(&["silent", "nominal", "rough", "live"]),
-        word(&["through", "aside"]),
-        prop::option::of(word(&["z0", "nowhere"])),
+        one_of(&["push", "ask"]),
+        one_of(&["silent", "nominal", "rough", "live"]),
+        one_of(&["through", "aside"]),
+        prop::option::of(one_of(&["z0", "nowhere"])),
         (1..600u32, 1.0..10.0, 0.0..0.3),
     );
     let lists = (
         prop::collection::vec(class, 1..6),
-        prop::collection::vec(realm, 0..4),
+        prop::collection::vec(tenant, 0..4),
     );
-    (lists, limits, rules, rest).prop_map(|((classes, realms), limits, rules, rest)| {
-        let (discovery, weights, mode, zone, (nodes, period, crossing)) = rest;
-        let (tries, hedging, cancel, retry, connect, after) = limits;
-        let (grace, from, cold, multiple, fall, within) = rules;
+    (lists, limits, rules, rest).prop_map(|((classes, tenants), limits, rules, rest)| {
+        let (discovery, weights, mode, zone, (nodes, tick, price_cross_zone)) = rest;
+        let (max_attempts, hedging, cancel, retry_after, timeout, max_retry_after) = limits;
+        let (drain_grace, cold_capacity, warm_up_time, multiple, window, poll) = rules;
         serde_json::json!({
-            "classes": classes, "realms": realms, "discovery": discovery, "weights": weights, "zone": zone,
-            "zones": ["z0", "z1"], "kinds": ["m0", "m1"], "replicas_of_me": nodes, "period": period,
+            "classes": classes, "realms": tenants, "discovery": discovery, "weights": weights, "zone": zone,
+            "zones": ["z0", "z1"], "kinds": ["m0", "m1"], "replicas_of_me": nodes, "period": tick,
             "domain": {"mode": mode, "origin_kind": if mode == "aside" { 1 } else { -1 }},
-            "prices": {"cross_zone": crossing},
-            "policy_limits": {"try_limit": tries, "second_copies": hedging, "cancel": cancel, "retry_after": retry,
-                "max_retry_after": after, "connect_timeout": connect},
-            "rules": {"stop_sending_within": grace, "cold_from": from, "cold": cold, "fall_multiple": multiple,
-                "fall": fall, "ask_within": within, "grace_to_answer": 4.0 * period},
+            "prices": {"cross_zone": price_cross_zone},
+            "policy_limits": {"try_limit": max_attempts, "second_copies": hedging, "cancel": cancel,
+                "retry_after": retry_after, "max_retry_after": max_retry_after, "connect_timeout": timeout},
+            "rules": {"stop_sending_within": drain_grace, "cold_from": cold_capacity, "cold": warm_up_time,
+                "fall_multiple": multiple, "fall": window, "ask_within": poll, "grace_to_answer": 4.0 * tick},
         })
     })
 }
 
 #[test]
-fn rules_hold_on_any_customers_settings() {
+fn actions_obey_the_rules_for_any_valid_settings() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -514,9 +559,9 @@
             &(arbitrary_settings(), any::<u64>(), ops),
             |(value, seed, ops)| {
                 let fields = sloewick_decision::settings::Fields::of(&value, "settings").unwrap();
-                let (set, _) = sloewick_decision::settings::parse(&fields).unwrap();
-                set.validate().unwrap();
-                Node::new(set, seed).play(&ops);
+                let (settings, _) = sloewick_decision::settings::parse(&fields).unwrap();
+                settings.validate().unwrap();
+                Node::new(settings, seed).run(&ops);
                 Ok(())
             },
         )
@@ -524,69 +569,72 @@
 }
 
 #[test]
-fn request_without_any_server_is_answered() {
+fn request_gets_a_final_response_without_any_server() {
     let mut node = Node::new(settings(true, CacheMode::ReadThrough, true), 1);
-    node.request(4, 1, 600_000);
-    node.pass(1_000_000);
+    node.send_request(4, 1, 600_000);
+    node.advance(1_000_000);
     assert!(node
-        .open
+        .requests
         .values()
-        .all(|o| o.closed && o.attempts.is_empty()));
+        .all(|request| request.closed && request.attempts.is_empty()));
 }
 
 #[test]
-fn waiting_requests_are_sent_when_a_server_joins() {
+fn waiting_request_is_sent_when_a_server_joins() {
     let mut node = Node::new(settings(true, CacheMode::ReadThrough, true), 1);
-    node.request(0, 1, 600_000);
-    let e = node.entry(0, ServerState::Live);
-    node.list(EndpointListKind::Delta, vec![e]);
-    assert!(node.open.values().all(|o| o.attempts.len() == 1));
+    node.send_request(0, 1, 600_000);
+    let entry = node.entry(0, ServerState::Live);
+    node.deliver_list(EndpointListKind::Delta, vec![entry]);
+    assert!(node
+        .requests
+        .values()
+        .all(|request| request.attempts.len() == 1));
 }
 
 #[test]
 fn misses_and_writes_go_to_the_origin_in_cache_aside_mode() {
     let mut node = Node::new(settings(true, CacheMode::CacheAside, false), 1);
     let list = (0..8).map(|i| node.entry(i, ServerState::Live)).collect();
-    node.list(EndpointListKind::Full, list);
-    node.request(0, 1, 600_000);
-    node.outcome(0, 8);
-    node.request(0, 3, 600_000);
+    node.deliver_list(EndpointListKind::Full, list);
+    node.send_request(0, 1, 600_000);
+    node.end_attempt(0, 8);
+    node.send_request(0, 3, 600_000);
     let sent: Vec<Vec<&str>> = node
-        .open
+        .requests
         .values()
-        .map(|o| o.attempts.iter().map(|a| &*a.server).collect())
+        .map(|request| request.attempts.iter().map(|a| &*a.server).collect())
         .collect();
-    let origin = |s: &str| s == "srv6" || s == "srv7";
-    assert!(!origin(sent[0][0]) && origin(sent[0][1]), "{sent:?}");
-    assert!(origin(sent[1][0]), "{sent:?}");
+    let is_origin = |s: &str| s == "srv6" || s == "srv7";
+    assert!(!is_origin(sent[0][0]) && is_origin(sent[0][1]), "{sent:?}");
+    assert!(is_origin(sent[1][0]), "{sent:?}");
 }
 
 #[test]
-fn failed_poll_of_the_endpoint_list_is_repeated_within_its_bound() {
+fn failed_poll_of_the_endpoint_list_is_repeated_within_half_the_poll_bound() {
     let mut node = Node::new(settings(true, CacheMode::ReadThrough, true), 1);
-    let e = node.entry(0, ServerState::Live);
-    node.list(EndpointListKind::Cached, vec![e]);
-    node.pass(node.settings.poll_within / 2);
-    assert_eq!(node.calls, 1);
+    let entry = node.entry(0, ServerState::Live);
+    node.deliver_list(EndpointListKind::Cached, vec![entry]);
+    node.advance(node.settings.poll_within / 2);
+    assert_eq!(node.endpoint_list_calls, 1);
     for _ in 0..6 {
-        let before = node.calls;
-        node.give(Event::EndpointListFailed);
-        node.pass(node.settings.poll_within / 2);
-        assert_eq!(node.calls, before + 1);
+        let before = node.endpoint_list_calls;
+        node.handle(Event::EndpointListFailed);
+        node.advance(node.settings.poll_within / 2);
+        assert_eq!(node.endpoint_list_calls, before + 1);
     }
 }
 
 #[test]
-fn server_that_warms_up_gets_no_more_than_its_capacity() {
-    let mut set = settings(true, CacheMode::ReadThrough, false);
-    set.classes.truncate(1);
-    let mut node = Node::new(set, 3);
+fn server_that_warms_up_gets_attempts_in_proportion_to_its_capacity() {
+    let mut settings = settings(true, CacheMode::ReadThrough, false);
+    settings.classes.truncate(1);
+    let mut node = Node::new(settings, 3);
     let mut list: Vec<Endpoint> = (0..8).map(|i| node.entry(i, ServerState::Live)).collect();
     node.now = 1_000_000;
-    for e in &mut list {
-        e.started = (&*e.server == "srv2").then_some(node.now);
+    for entry in &mut list {
+        entry.started = (&*entry.server == "srv2").then_some(node.now);
     }
-    node.list(EndpointListKind::Full, list);
+    node.deliver_list(EndpointListKind::Full, list);
     let (mut cold, mut all) = (0.0, 0.0);
     for i in 0..3000 {
         node.serial += 1;
@@ -612,8 +660,11 @@
             }
         }
     }
-    // As busy as the seven others.
-    let able =
+    // Number of attempts at which the cold server is as busy as the seven others, given its capacity.
+    let expected =
         all / 8.0 * node.settings.cold_capacity / ((7.0 + node.settings.cold_capacity) / 8.0);
-    assert!(cold > 0.5 * able && cold < 1.2 * able, "{cold} of {all}");
+    assert!(
+        cold > 0.5 * expected && cold < 1.2 * expected,
+        "{cold} of {all} attempts at the cold server, {expected:.0} expected"
+    );
 }
