--- a/crates/sloewick/tests/admin.rs
+++ b/crates/sloewick/tests/admin.rs
@@ -24,25 +24,25 @@
     let mut text = String::new();
     malformed.read_to_string(&mut text).unwrap();
     assert!(text.starts_with("HTTP/1.1 400 "), "{text}");
-    let mut long = TcpStream::connect(admin).unwrap();
-    let _ = long.write_all(format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)).as_bytes());
+    let mut oversized = TcpStream::connect(admin).unwrap();
+    let _ = oversized.write_all(format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(20_000)).as_bytes());
     let mut text = String::new();
-    let _ = long.read_to_string(&mut text);
+    let _ = oversized.read_to_string(&mut text);
     assert!(text.starts_with("HTTP/1.1 431 "), "{text}");
 }
 
 #[test]
-fn unfinished_admin_requests_block_nobody_and_are_closed() {
+fn incomplete_admin_requests_are_closed_and_do_not_block_others() {
     let server = listener();
     let (_node, admin) = Node::with_admin(&server);
-    let mut unfinished: Vec<TcpStream> = (0..40)
+    let mut incomplete: Vec<TcpStream> = (0..40)
         .map(|_| TcpStream::connect(admin).unwrap())
         .collect();
-    for stream in &mut unfinished {
+    for stream in &mut incomplete {
         let _ = stream.write_all(b"GET /api/rea");
     }
     assert!(is_ready(admin));
-    for mut stream in unfinished {
+    for mut stream in incomplete {
         // Closed by the node, whether to free a slot or by timeout.
         stream.set_read_timeout(Some(WAIT_LIMIT)).unwrap();
         let mut remaining = Vec::new();
@@ -65,7 +65,7 @@
     client.send_get("r2");
     let conn = next_readable(&mut conns, &server);
     assert_eq!(conn.read_command()[2], "r2");
-    wait_until("the request counts as held", || {
+    wait_until("the request is counted in `current`", || {
         metric(admin, "current") == 1
     });
     conn.send("-ERR failed\r\n");
@@ -75,104 +75,104 @@
     assert_eq!(conn.read_command()[2], "r3");
     conn.send("-BUSY\r\n");
     assert_eq!(client.read_line(), BUSY);
-    let name = |name: &str| metric(admin, name);
+    let value = |name: &str| metric(admin, name);
     assert_eq!(
         (
-            name("answered.once"),
-            name("errored.once"),
-            name("deferred.once")
+            value("answered.once"),
+            value("errored.once"),
+            value("deferred.once")
         ),
         (1, 1, 1)
     );
     assert_eq!(
-        (name("sends"), name("current"), name("answered.read")),
+        (value("sends"), value("current"), value("answered.read")),
         (3, 0, 0)
     );
-    // A server that takes no connections is avoided.
-    let conn_of = close_listener(server);
+    // A server that refuses connections gets no requests, which `cluster_unhealthy` shows.
+    let server_address = close_listener(server);
     client.send_get("r4");
     drop(conns);
     client.read_line();
     client.send_get("r5");
     client.read_line();
-    wait_until(&format!("{conn_of} is avoided"), || {
+    wait_until(&format!("{server_address} counts as unhealthy"), || {
         metric(admin, "cluster_unhealthy") == 1
     });
     assert_eq!(metric(admin, "cluster_size"), 1);
 }
 
-/// All slots for admin clients are taken by silent ones; metrics are requested all the same, twice a second.
+/// Clients that do not complete their requests hold all 16 admin connections, and the metrics are requested twice a second.
 #[test]
-fn metrics_are_served_while_all_admin_connections_hang() {
+fn metrics_are_served_while_incomplete_requests_hold_all_admin_connections() {
     let server = listener();
     let (node, admin) = Node::with_admin(&server);
     let mut client = node.client();
     let _conn = exchange(&mut client, &server, "r1");
-    let begun = Instant::now();
+    let started = Instant::now();
     for _ in 0..4 {
-        let hang: Vec<TcpStream> = (0..16)
+        let incomplete: Vec<TcpStream> = (0..16)
             .map(|_| TcpStream::connect(admin).unwrap())
             .collect();
-        for mut stream in &hang {
+        for mut stream in &incomplete {
             let _ = stream.write_all(b"GET /api/telemetry HTTP/1.1\r\n");
         }
         assert_eq!(metric(admin, "answered.once"), 1);
         std::thread::sleep(Duration::from_millis(500));
-        drop(hang);
+        drop(incomplete);
     }
-    assert!(begun.elapsed() < WAIT_LIMIT);
+    assert!(started.elapsed() < WAIT_LIMIT);
 }
 
 #[test]
 fn evacuated_node_is_not_ready_closes_its_clients_and_rejoins() {
     let server = listener();
     let (node, admin) = Node::with_admin(&server);
-    let mut used = node.client();
-    exchange(&mut used, &server, "r1").close();
-    let mut held = node.client();
-    held.send_get("r2");
-    let mut slow = accept(&server);
-    assert_eq!(slow.read_command()[2], "r2");
+    let mut active = node.client();
+    exchange(&mut active, &server, "r1").close();
+    let mut waiting = node.client();
+    waiting.send_get("r2");
+    let mut pending_conn = accept(&server);
+    assert_eq!(pending_conn.read_command()[2], "r2");
     let mut idle = node.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(admin_request(admin, "POST", "/api/evacuate").0, 200);
     assert!(!is_ready(admin));
     // A load balancer's PING is rejected, and requests on new connections are still served.
-    let mut front = node.client();
-    front.send(command(&[b"PING"]));
-    assert_eq!(front.read_line(), "-ERR leaving");
+    let mut load_balancer = node.client();
+    load_balancer.send(command(&[b"PING"]));
+    assert_eq!(load_balancer.read_line(), "-ERR leaving");
     assert_eq!(
-        front.read_to_end(),
+        load_balancer.read_to_end(),
         "",
-        "the connection ends behind the answer"
+        "the connection is closed after the response"
     );
-    exchange(&mut used, &server, "r3");
-    assert_eq!(used.read_to_end(), "");
-    let lasted = begun.elapsed();
+    exchange(&mut active, &server, "r3");
+    assert_eq!(active.read_to_end(), "");
+    let elapsed = started.elapsed();
     assert!(
-        lasted < Duration::from_millis(1500),
-        "behind the answer, not by time: {lasted:?}"
+        elapsed < Duration::from_millis(1500),
+        "not closed right after the response, but after {elapsed:?}"
     );
     assert_eq!(idle.read_to_end(), "");
     assert!(
-        begun.elapsed() > Duration::from_millis(1500),
-        "its client had time to write"
+        started.elapsed() > Duration::from_millis(1500),
+        "the idle connection was closed before its client had time to send a request"
     );
     // Pending responses are still sent.
-    slow.send(hit_reply(b"two"));
-    assert_eq!(held.read_bulk(), b"two");
-    assert_eq!(held.read_to_end(), "");
+    pending_conn.send(hit_reply(b"two"));
+    assert_eq!(waiting.read_bulk(), b"two");
+    assert_eq!(waiting.read_to_end(), "");
     assert_eq!(admin_request(admin, "POST", "/api/rejoin").0, 200);
     assert!(is_ready(admin));
-    let mut back = node.client();
-    back.send(command(&[b"PING"]));
-    assert_eq!(back.read_line(), "+PONG");
-    back.send_get("r4");
-    let mut conns = vec![slow];
+    let mut rejoined = node.client();
+    rejoined.send(command(&[b"PING"]));
+    assert_eq!(rejoined.read_line(), "+PONG");
+    rejoined.send_get("r4");
+    let mut conns = vec![pending_conn];
     let conn = next_readable(&mut conns, &server);
     assert_eq!(conn.read_command()[2], "r4");
     conn.send(hit_reply(b"four"));
-    assert_eq!(back.read_bulk(), b"four");
+    assert_eq!(rejoined.read_bulk(), b"four");
 }
 
 #[test]
@@ -183,8 +183,8 @@
     let mut conns = vec![exchange(&mut first, &server, "r0")];
     drop(first);
     for round in 0..20 {
-        let mut held = node.client();
-        held.send_get(&format!("held-{round}"));
+        let mut waiting = node.client();
+        waiting.send_get(&format!("held-{round}"));
         let conn = next_readable(&mut conns, &server);
         assert_eq!(conn.read_command()[2], format!("held-{round}"));
         assert_eq!(admin_request(admin, "POST", "/api/evacuate").0, 200);
@@ -193,9 +193,9 @@
         assert!(is_ready(admin), "round {round}");
         // The request that was in flight is served on a connection that stays open.
         conn.send(hit_reply(b"held"));
-        assert_eq!(held.read_bulk(), b"held");
-        held.send(command(&[b"PING"]));
-        assert_eq!(held.read_line(), "+PONG", "round {round}");
+        assert_eq!(waiting.read_bulk(), b"held");
+        waiting.send(command(&[b"PING"]));
+        assert_eq!(waiting.read_line(), "+PONG", "round {round}");
     }
     assert_eq!(
         (metric(admin, "answered.once"), metric(admin, "current")),
@@ -207,22 +207,22 @@
 fn shutdown_during_an_evacuation_completes_requests_in_flight() {
     let server = listener();
     let (mut node, admin) = Node::with_admin(&server);
-    let mut held = node.client();
-    held.send_get("r1");
+    let mut waiting = node.client();
+    waiting.send_get("r1");
     let mut conn = accept_request(&server, "r1");
     assert_eq!(admin_request(admin, "POST", "/api/evacuate").0, 200);
     node.signal("TERM");
-    wait_until("the stop has begun", || {
+    wait_until("the shutdown has begun", || {
         admin_request(admin, "POST", "/api/evacuate").0 == 409
     });
     assert_eq!(admin_request(admin, "POST", "/api/rejoin").0, 409);
     conn.send(hit_reply(b"one"));
-    assert_eq!(held.read_bulk(), b"one");
-    assert_eq!(held.read_to_end(), "");
+    assert_eq!(waiting.read_bulk(), b"one");
+    assert_eq!(waiting.read_to_end(), "");
     assert!(node.wait().success());
 }
 
-/// A value that its client reads slowly arrives complete, and the connection ends behind it.
+/// A value that its client reads slowly arrives complete, and the connection is closed after it.
 #[test]
 fn long_value_in_transfer_during_an_evacuation_arrives_complete() {
     let server = listener();
@@ -233,9 +233,9 @@
     let mut client = node.client();
     client.send_get("r1");
     let mut conn = accept_request(&server, "r1");
-    let sending = std::thread::spawn({
+    let sender = std::thread::spawn({
         let value = value.clone();
-        // More than the node and the kernel take for a client that does not read.
+        // The value is larger than what the node and the kernel buffer for a client that does not read.
         move || (conn.send(hit_reply(&value)), conn)
     });
     assert_eq!(client.read_line(), format!("${}", value.len()));
@@ -245,16 +245,20 @@
     let mut idle = node.client();
     assert_eq!(idle.read_to_end(), "");
     assert_eq!(metric(admin, "current"), 1);
-    let mut got = Vec::new();
-    while got.len() < value.len() + 2 {
-        got.extend(client.read_available());
+    let mut received = Vec::new();
+    while received.len() < value.len() + 2 {
+        received.extend(client.read_available());
     }
     assert!(
-        got[..value.len()] == value && got[value.len()..] == *b"\r\n",
-        "the value is not what was sent"
+        received[..value.len()] == value && received[value.len()..] == *b"\r\n",
+        "the received value differs from the one that was sent"
     );
-    assert_eq!(client.read_to_end(), "", "the connection ends behind it");
-    sending.join().unwrap();
-    wait_until("nothing is held", || metric(admin, "current") == 0);
+    assert_eq!(
+        client.read_to_end(),
+        "",
+        "the connection is closed after the value"
+    );
+    sender.join().unwrap();
+    wait_until("no request is in flight", || metric(admin, "current") == 0);
     assert_eq!(metric(admin, "answered.once"), 1);
 }
--- a/crates/sloewick/tests/architecture.rs
+++ b/crates/sloewick/tests/architecture.rs
@@ -1,10 +1,10 @@
-//! docs/ARCHITECTURE.md names files, types and their members: each has to exist.
+//! Checks that the files, types and members that docs/ARCHITECTURE.md names exist.
 
 use std::collections::BTreeMap;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-fn root() -> PathBuf {
+fn workspace_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
@@ -12,7 +12,9 @@
 fn rust_files(folder: &Path, files: &mut BTreeMap<PathBuf, String>) {
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
-        let is_source = path.components().any(|part| part.as_os_str() == "src");
+        let is_source = path
+            .components()
+            .any(|component| component.as_os_str() == "src");
         if path.is_dir() {
             rust_files(&path, files);
         } else if is_source && path.extension().is_some_and(|extension| extension == "rs") {
@@ -22,8 +24,8 @@
     }
 }
 
-/// What a page puts between backticks, outside indented code.
-fn code_words(page: &str) -> Vec<&str> {
+/// The texts between backticks in a Markdown page, except for those in indented code blocks.
+fn code_spans(page: &str) -> Vec<&str> {
     page.lines()
         .filter(|line| !line.starts_with("    "))
         .flat_map(|line| line.split('`').skip(1).step_by(2))
@@ -57,18 +59,18 @@
     })
 }
 
-/// Whether a text has this word as a function, a field or a variant.
-fn has_member(text: &str, name: &str) -> bool {
+/// Whether a text contains this identifier, as the name of a function, a field or a variant does.
+fn contains_identifier(text: &str, name: &str) -> bool {
     text.split(|c: char| !(c.is_ascii_alphanumeric() || c == '_'))
         .any(|word| word == name)
 }
 
-/// What does not exist of the files, types and members that a page names.
-fn missing(page: &str, crates: &Path) -> Vec<String> {
+/// The files, types and members that a page names and that do not exist.
+fn missing_names(page: &str, crates: &Path) -> Vec<String> {
     let mut files = BTreeMap::new();
     rust_files(crates, &mut files);
     let mut missing = Vec::new();
-    for word in code_words(page) {
+    for word in code_spans(page) {
         let is_path = is_rust_file(word) || word.ends_with("/src");
         if is_path && !crates.join(word).exists() {
             missing.push(format!("file {word}"));
@@ -88,7 +90,7 @@
         if let Some(member) = parts.next() {
             let found = files
                 .values()
-                .any(|text| has_member(text, name) && has_member(text, member));
+                .any(|text| contains_identifier(text, name) && contains_identifier(text, member));
             if !declaring.is_empty() && !found {
                 missing.push(format!("member {name}::{member}"));
             }
@@ -98,28 +100,28 @@
 }
 
 #[test]
-fn every_file_and_type_of_the_architecture_page_exists() {
-    let page = fs::read_to_string(root().join("docs/ARCHITECTURE.md")).unwrap();
-    let paths = code_words(&page)
+fn files_types_and_members_named_in_the_architecture_page_exist() {
+    let page = fs::read_to_string(workspace_root().join("docs/ARCHITECTURE.md")).unwrap();
+    let paths = code_spans(&page)
         .iter()
         .filter(|word| is_rust_file(word))
         .count();
     assert!(
         paths >= 20,
-        "only {paths} files are named: is the page read as it should be?"
+        "found only {paths} file names; was the page parsed correctly?"
     );
-    let missing = missing(&page, &root().join("crates"));
+    let missing = missing_names(&page, &workspace_root().join("crates"));
     assert!(
         missing.is_empty(),
-        "docs/ARCHITECTURE.md names what isn't there: {missing:#?}"
+        "docs/ARCHITECTURE.md names files, types or members that do not exist: {missing:#?}"
     );
 }
 
 #[test]
-fn names_that_do_not_exist_are_reported() {
+fn missing_files_types_and_members_are_reported() {
     let page = "`decision/src/no_such_file.rs` holds `NoSuchType` and `Balancer::no_such_member`, beside `Balancer::handle`.";
     assert_eq!(
-        missing(page, &root().join("crates")),
+        missing_names(page, &workspace_root().join("crates")),
         [
             "file decision/src/no_such_file.rs",
             "type NoSuchType",
--- a/crates/sloewick/tests/cli.rs
+++ b/crates/sloewick/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as a user meets it: output, exit codes, and errors for input that can't be used.
+//! The command line: output, exit codes, and errors for invalid input.
 
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
@@ -15,13 +15,15 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-fn file(name: &str, content: &str) -> PathBuf {
+/// Writes a file for a test and returns its path.
+fn write_file(name: &str, content: &str) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, content).unwrap();
     path
 }
 
-fn example() -> String {
+/// The example configuration of a node.
+fn example_config() -> String {
     std::fs::read_to_string(concat!(
         env!("CARGO_MANIFEST_DIR"),
         "/../../examples/node.json"
@@ -69,18 +71,19 @@
     let counted: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
     assert_eq!(counted["all"]["ended, refused by budget"], 2);
     assert!(text(&sloewick(&["trace", path]).stdout).contains("requests refused, of all: 1.000"));
-    for wrong in [
+    for args in [
         vec!["trace", "/nowhere/at/all"],
         vec!["trace", path, "--from", "3", "--to", "2"],
     ] {
-        let out = sloewick(&wrong);
-        assert_eq!(out.status.code(), Some(2), "{wrong:?}");
+        let out = sloewick(&args);
+        assert_eq!(out.status.code(), Some(2), "{args:?}");
         assert!(!out.stderr.is_empty());
     }
 }
 
-/// Lines as the version before wrote them, with the collector's seconds in front; beside them lines of the log.
-const LOG_OF_THE_VERSION_BEFORE: &str = "\
+/// Lines of the event trace and of the log as the previous version wrote them. The log collector has put a time in seconds
+/// before each line.
+const LOG_OF_PREVIOUS_VERSION: &str = "\
 14.141 trace t=14126395 request id=c90dc84a76dc11b6 class=2 write=1
 14.141 trace t=14126422 send id=c90dc84a76dc11b6 server=s-28553951
 14.142 trace t=14127001 conn server=s-28553951 step=Open
@@ -96,9 +99,9 @@
 ";
 
 #[test]
-fn trace_reads_logs_of_the_version_before() {
+fn trace_reads_logs_of_the_previous_version() {
     let folder = tempfile::tempdir().unwrap();
-    std::fs::write(folder.path().join("n0.log"), LOG_OF_THE_VERSION_BEFORE).unwrap();
+    std::fs::write(folder.path().join("n0.log"), LOG_OF_PREVIOUS_VERSION).unwrap();
     let out = sloewick(&["trace", folder.path().to_str().unwrap(), "--json"]);
     assert_eq!(out.status.code(), Some(0));
     let counted: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
@@ -114,7 +117,7 @@
 
 #[test]
 fn example_configuration_passes_the_check() {
-    let path = file("good.json", &example());
+    let path = write_file("good.json", &example_config());
     let out = sloewick(&["check", path.to_str().unwrap()]);
     assert!(
         out.status.success(),
@@ -126,19 +129,19 @@
 
 #[test]
 fn each_configuration_problem_is_reported_with_field_value_reason_and_example() {
-    let mut v: serde_json::Value = serde_json::from_str(&example()).unwrap();
-    v["listen"] = "here".into();
-    v["seed"] = 7.into();
-    v["limits"]["memory_mb"] = 4.into();
-    v["known"]["targets"][0]["state"] = "asleep".into();
-    v["settings"]["classes"][1]["window"] = (-1).into();
-    v["settings"]["classes"][0]["repeat"] = "always".into();
-    v["settings"]["rules"]["cold_from"] = 1.5.into();
-    v["settings"]["policy_limits"]
+    let mut config: serde_json::Value = serde_json::from_str(&example_config()).unwrap();
+    config["listen"] = "here".into();
+    config["seed"] = 7.into();
+    config["limits"]["memory_mb"] = 4.into();
+    config["known"]["targets"][0]["state"] = "asleep".into();
+    config["settings"]["classes"][1]["window"] = (-1).into();
+    config["settings"]["classes"][0]["repeat"] = "always".into();
+    config["settings"]["rules"]["cold_from"] = 1.5.into();
+    config["settings"]["policy_limits"]
         .as_object_mut()
         .unwrap()
         .remove("try_limit");
-    let path = file("bad.json", &v.to_string());
+    let path = write_file("bad.json", &config.to_string());
     let out = sloewick(&["check", path.to_str().unwrap()]);
     assert_eq!(out.status.code(), Some(2));
     let output = text(&out.stdout);
@@ -170,7 +173,7 @@
 
 #[test]
 fn input_that_is_not_a_configuration_is_reported() {
-    let path = file("cut.json", "{\"listen\": ");
+    let path = write_file("cut.json", "{\"listen\": ");
     let out = sloewick(&["check", path.to_str().unwrap()]);
     assert_eq!(out.status.code(), Some(2));
     assert!(
@@ -186,7 +189,7 @@
 
 #[test]
 fn invalid_scenario_is_reported_with_file_and_line() {
-    let path = file(
+    let path = write_file(
         "bad.toml",
         "name = \"x\"\nseconds = 5\n[[fault]]\nkind = \"flood\"\nat = -1\n",
     );
@@ -205,33 +208,33 @@
 
 #[test]
 fn same_seed_gives_the_same_run_in_two_processes() {
-    let path = file(
+    let path = write_file(
         "short.toml",
         "name = \"short\"\nseconds = 3\nboxes = 5\nrate = 80\n[[fault]]\nkind = \"crash-boxes\"\nat = 1\n",
     );
     let play = || {
         let out = sloewick(&["play", path.to_str().unwrap(), "--seed", "5", "--log"]);
         assert!(out.status.success(), "{}", text(&out.stderr));
-        // The speed differs from run to run.
+        // The line with the speed differs between runs.
         let lines: Vec<String> = text(&out.stdout).lines().map(str::to_string).collect();
         lines
             .into_iter()
-            .filter(|l| !l.contains("fleet-seconds"))
+            .filter(|line| !line.contains("fleet-seconds"))
             .collect::<Vec<_>>()
     };
     let first = play();
     assert!(
-        first.len() > 500 && first.iter().any(|l| l.contains("crash-boxes begins")),
+        first.len() > 500 && first.iter().any(|line| line.contains("crash-boxes begins")),
         "{}",
         first.len()
     );
     assert!(first == play());
 }
 
-/// Runs on several threads print the same, in the order of their seeds.
+/// Runs on several threads print the same output as on one thread, in the order of their seeds.
 #[test]
 fn parallel_runs_are_printed_in_the_order_of_their_seeds() {
-    let path = file(
+    let path = write_file(
         "many.toml",
         "name = \"many\"\nseconds = 2\nboxes = 4\nnodes = 1\nrate = 40\n",
     );
@@ -247,7 +250,10 @@
         ]);
         assert!(out.status.success(), "{}", text(&out.stderr));
         let (out, err) = (text(&out.stdout), text(&out.stderr));
-        assert_eq!(err, "", "no progress where nobody looks");
+        assert_eq!(
+            err, "",
+            "progress is shown although standard error is not a terminal"
+        );
         let (runs, summary) = out.trim_end().rsplit_once('\n').unwrap();
         assert!(
             summary.starts_with("12 runs, 0 with a broken rule; "),
@@ -296,15 +302,15 @@
 }
 
 #[test]
-fn scenarios_printed_by_show_can_be_played() {
+fn scenario_printed_by_show_can_be_played() {
     let shown = text(&sloewick(&["play", "swarm", "--seed", "9", "--show"]).stdout);
-    let path = file("shown.toml", &shown);
+    let path = write_file("shown.toml", &shown);
     let again = text(&sloewick(&["play", path.to_str().unwrap(), "--show"]).stdout);
     assert_eq!(shown, again);
 }
 
 #[test]
-fn demo_serves_requests_ends_and_lists_its_faults() {
+fn demo_prints_a_summary_and_rejects_invalid_options() {
     let out = sloewick(&[
         "demo",
         "--seconds",
@@ -331,15 +337,15 @@
     assert_eq!(sloewick(&["demo", "--seconds", "0"]).status.code(), Some(2));
 }
 
-/// `sloewick check` of a node's configuration together with this memcached file.
+/// Runs `sloewick check` on a node's configuration together with this memcached file.
 fn check_with_memcached(node: &Path, file: &Path) -> Output {
     let (node, file) = (node.to_str().unwrap(), file.to_str().unwrap());
     sloewick(&["check", node, "--memcached", file])
 }
 
 #[test]
-fn memcached_file_is_checked_with_the_configuration_and_an_invalid_one_stops_run() {
-    let node = file("mc-node.json", &example());
+fn invalid_memcached_file_is_rejected_by_check_and_by_run() {
+    let node = write_file("mc-node.json", &example_config());
     let shipped = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/memcached.toml");
     let out = check_with_memcached(&node, &shipped);
     assert!(
@@ -349,18 +355,18 @@
         text(&out.stderr)
     );
     let invalid = "listen = \"127.0.0.1:6379\"\n[[route]]\noperation = \"set\"\nkeys = \"*\"\nclass = \"trace-read\"\n";
-    let path = file("mc-bad.toml", invalid);
+    let path = write_file("mc-bad.toml", invalid);
     let out = check_with_memcached(&node, &path);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stdout).contains("line 5: route[0].class: a write must not be of a class"));
-    let path = file("mc-same.toml", "listen = \"127.0.0.1:6379\"\n[[route]]\noperation = \"get\"\nkeys = \"*\"\nclass = \"trace-read\"\n");
+    let path = write_file("mc-same.toml", "listen = \"127.0.0.1:6379\"\n[[route]]\noperation = \"get\"\nkeys = \"*\"\nclass = \"trace-read\"\n");
     let out = check_with_memcached(&node, &path);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stdout).contains("is the address of the node's own listener"));
     // A node does not start with a file that the check rejects.
     let mut run = Command::new(env!("CARGO_BIN_EXE_sloewick"));
     // A long path must not truncate the reason.
-    let invalid = file(
+    let invalid = write_file(
         &format!("mc-bad2-{}.toml", "long".repeat(40)),
         "listn = \"127.0.0.1:0\"\n",
     );
@@ -376,7 +382,7 @@
 }
 
 #[test]
-fn fleets_with_memcached_clients_and_servers_are_played() {
+fn scenario_runs_with_memcached_clients_and_servers() {
     let args = [
         "play", "calm", "--front", "both", "--cache", "mixed", "--seed", "4",
     ];
@@ -394,7 +400,7 @@
         .and_then(|rest| rest.split(' ').next());
     let service: f64 = service
         .and_then(|n| n.parse().ok())
-        .expect("the report tells the service");
+        .expect("the report contains the service figure");
     assert!((0.9..=1.0).contains(&service), "{output}");
     assert_eq!(
         sloewick(&["play", "calm", "--front", "text"]).status.code(),
--- a/crates/sloewick/tests/client_connections.rs
+++ b/crates/sloewick/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: invalid commands, limits on slots, memory and time.
+//! Client connections: invalid commands, and limits on slots, memory and time.
 
 mod support;
 
@@ -6,7 +6,7 @@
 
 use support::*;
 
-/// Commands of others that are read first, more than the node handles in one iteration of its event loop.
+/// Number of other clients, whose commands the node reads first: more than it reads in one iteration of its event loop.
 const OTHER_CLIENTS: usize = 280;
 
 #[test]
@@ -38,7 +38,8 @@
     let node = Node::with_server(&server);
     let mut client = node.client();
     client.send_get("r1");
-    // More follows than is read before the close: an immediate close would reset the connection and lose the replies.
+    // More bytes follow than the node reads before it closes the connection. A close with unread input would reset the
+    // connection, and the replies would be lost.
     client.send([&b"*1\r\n$99999999999\r\n"[..], &[b'x'; 200_000]].concat());
     let mut conn = accept_request(&server, "r1");
     conn.send(hit_reply(b"one"));
@@ -66,17 +67,17 @@
     let node = Node::before(&server).set("/limits/memory_mb", 32).start();
     let value = vec![b'v'; 3 << 20];
     let set = |id: &[u8]| command(&[b"C.SET", b"k1", id, b"c=once,d=20000", &value]);
-    // The first value's announced length counts before its bytes have arrived.
+    // The announced length of the first value counts against the limit before its bytes have arrived.
     let (mut first, mut second) = (node.client(), node.client());
-    let whole = set(b"r1");
-    first.send([&command(&[b"PING"])[..], &whole[..1000]].concat());
+    let first_set = set(b"r1");
+    first.send([&command(&[b"PING"])[..], &first_set[..1000]].concat());
     assert_eq!(first.read_line(), "+PONG");
     for _ in 0..20 {
         second.send(set(b"r2"));
         assert_eq!(second.read_line(), BUSY);
     }
     assert!(node.memory_mb() < 32, "{} MB", node.memory_mb());
-    first.send(&whole[1000..]);
+    first.send(&first_set[1000..]);
     let mut conn = accept_request(&server, "r1");
     conn.send(hit_reply(b"one"));
     assert_eq!(first.read_bulk(), b"one");
@@ -92,18 +93,18 @@
         .command(program_with_descriptor_limit(32))
         .start();
     let clients: Vec<Peer> = (0..60).map(|_| node.client()).collect();
-    let mut late = node.client();
+    let mut last = node.client();
     drop(clients);
-    late.send(command(&[b"PING"]));
-    assert_eq!(late.read_line(), "+PONG");
+    last.send(command(&[b"PING"]));
+    assert_eq!(last.read_line(), "+PONG");
 }
 
 #[test]
-fn connection_with_an_unfinished_command_is_closed() {
+fn connection_with_an_incomplete_command_gets_an_error_and_is_closed() {
     let server = listener();
     let node = Node::with_server(&server);
     let mut client = node.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     client.send("*4\r\n$5\r\nC.G");
     let reply = client.read_to_end();
     assert!(
@@ -112,25 +113,25 @@
     );
     // The error is due within 3 s of connecting.
     assert!(
-        begun.elapsed() < Duration::from_secs(6),
+        started.elapsed() < Duration::from_secs(6),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
 }
 
 #[test]
-fn silent_client_is_closed_and_one_that_sent_a_command_stays() {
+fn silent_client_is_closed_and_one_that_sent_a_command_stays_connected() {
     let server = listener();
     let node = Node::with_server(&server);
     let mut active = node.client();
     active.send(command(&[b"PING"]));
     assert_eq!(active.read_line(), "+PONG");
-    let begun = Instant::now();
+    let started = Instant::now();
     assert_eq!(node.client().read_to_end(), "");
     assert!(
-        begun.elapsed() < Duration::from_secs(6),
+        started.elapsed() < Duration::from_secs(6),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
     active.send(command(&[b"PING"]));
     assert_eq!(active.read_line(), "+PONG");
@@ -140,18 +141,19 @@
 fn client_with_an_unread_command_is_not_evicted() {
     let server = listener();
     let node = Node::before(&server).set("/limits/sockets", 664).start();
-    // All slots for clients but one are taken, of three fifths of 640; the newcomer takes the last.
-    let known = || {
+    // Three fifths of the 640 descriptors that are not reserved are slots for clients. All but one are taken; the new client
+    // takes the last.
+    let active_client = || {
         let mut client = node.client();
         client.send(command(&[b"PING"]));
         assert_eq!(client.read_line(), "+PONG");
         client
     };
-    let mut oldest = known();
-    let mut others: Vec<Peer> = (0..382).map(|_| known()).collect();
+    let mut oldest = active_client();
+    let mut others: Vec<Peer> = (0..382).map(|_| active_client()).collect();
     node.pause();
-    // The newcomer is accepted first; the oldest client's command is not among those read in that iteration.
-    let mut newcomer = node.client();
+    // The new client is accepted first. The oldest client's command is not among those that are read in that iteration.
+    let mut new_client = node.client();
     for client in &mut others[..OTHER_CLIENTS] {
         client.send(command(&[b"PING"]));
     }
@@ -160,8 +162,8 @@
     let mut conn = accept_request(&server, "r1");
     conn.send(hit_reply(b"one"));
     assert_eq!(oldest.read_bulk(), b"one");
-    newcomer.send(command(&[b"PING"]));
-    assert_eq!(newcomer.read_line(), "+PONG");
+    new_client.send(command(&[b"PING"]));
+    assert_eq!(new_client.read_line(), "+PONG");
 }
 
 #[test]
@@ -173,8 +175,8 @@
         client.send(command(&[b"PING"]));
         assert_eq!(client.read_line(), "+PONG");
     }
-    let (mut silent, mut half) = (node.client(), node.client());
-    half.send("*4\r\n$5\r\nC.G");
+    let (mut silent, mut incomplete) = (node.client(), node.client());
+    incomplete.send("*4\r\n$5\r\nC.G");
     // The node has accepted both before it is paused.
     others[0].send(command(&[b"PING"]));
     assert_eq!(others[0].read_line(), "+PONG");
@@ -184,7 +186,7 @@
         client.send(command(&[b"PING"]));
     }
     silent.send_get("r1");
-    half.send("ET\r\n$2\r\nk1\r\n$2\r\nr2\r\n$14\r\nc=once,d=20000\r\n");
+    incomplete.send("ET\r\n$2\r\nk1\r\n$2\r\nr2\r\n$14\r\nc=once,d=20000\r\n");
     node.signal("CONT");
     let mut conns = [accept(&server), accept(&server)];
     let mut ids: Vec<String> = conns
@@ -197,7 +199,7 @@
         conn.send(hit_reply(b"value"));
     }
     assert_eq!(
-        (silent.read_bulk(), half.read_bulk()),
+        (silent.read_bulk(), incomplete.read_bulk()),
         (b"value".to_vec(), b"value".to_vec())
     );
 }
