--- a/crates/sloewick/tests/discovery_outage.rs
+++ b/crates/sloewick/tests/discovery_outage.rs
@@ -1,11 +1,10 @@
-//! A change that discovery has when it is back from an outage is obeyed in time, whatever failed meanwhile.
+//! A change made during an outage of discovery is applied in time after the outage, whichever way the requests have failed.
 //!
-//! What callers saw: with `ask_within` of 30 s and an outage of 12 s, requests went to a draining server until 14.0 s after
-//! the return of discovery, where 6 s and the grace are allowed.
-//!
-//! Why: a failed request left the next one to the decision module, whose pause grows to half of `ask_within`, and nothing
-//! bounded it. The cause showed in the requests that discovery saw: after a reset, a 503, a cut or an unreadable answer the
-//! first one came 13.9 to 14.0 s after the return at 30 s, and 0.6 to 4.0 s after it at 10 s.
+//! Guards against unbounded pauses between requests. After a failed request, the decision module determined when the next one
+//! was sent; its pause grows to half of `ask_within`, and had no other bound. With `ask_within` of 30 s and an outage of 12 s,
+//! a draining server got requests until 14.0 s after the return of discovery; 6 s plus the drain grace period are allowed.
+//! After a reset, a 503, a truncated or an unreadable response, the first request reached discovery 13.9 to 14.0 s after its
+//! return with `ask_within` of 30 s, and 0.6 to 4.0 s after it with 10 s.
 
 mod support;
 
@@ -15,28 +14,29 @@
 use serde_json::{json, Value};
 use support::*;
 
-/// A change counts as announced this much after discovery had it and could be reached.
+/// A change counts as announced this long after discovery had it and could be reached.
 const ANNOUNCED_AFTER: Duration = Duration::from_secs(6);
-/// The settings' grace for a draining server.
+/// The drain grace period in the settings.
 const GRACE: Duration = Duration::from_millis(400);
-/// How long a crowded service lets a request wait before it rejects it.
+/// How long an overloaded service queues a request before it rejects it.
 const BACKLOG_WAIT: Duration = Duration::from_millis(2_500);
+/// Time between two steps of the emulators.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Outages that are played unless `OUTAGES_S` names others, separated by commas.
-const OUTAGES_S: &str = "3,12";
+/// Durations of the outages in seconds, separated by commas. The environment variable `OUTAGES_S` replaces them.
+const DEFAULT_OUTAGES_S: &str = "3,12";
 
 const UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
-/// What requests to discovery meet during an outage.
+/// How requests to discovery fail during an outage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Failure {
     Reset,
     Unavailable,
     CutAnswer,
     UnreadableAnswer,
-    /// Nobody listens.
+    /// The connection is refused.
     Refused,
-    /// The request waits and is rejected then, also past the return.
+    /// The request is rejected after [`BACKLOG_WAIT`], even if the outage is over by then.
     Backlog,
 }
 
@@ -50,7 +50,7 @@
         Failure::Backlog,
     ];
 
-    /// Ends a request that was read.
+    /// Ends a request that has been read.
     fn end(self, mut request: Peer) {
         match self {
             Failure::Reset | Failure::Refused => return request.reset(),
@@ -65,23 +65,25 @@
     }
 }
 
-/// One outage.
+/// An outage, and the settings of the node.
 #[derive(Clone, Copy, Debug)]
 struct Case {
     failure: Failure,
     ask_within_ms: u32,
     outage: Duration,
-    /// Half way through the outage discovery moves to another address, where it is down as well.
+    /// Half way through the outage, discovery moves to another address, where it is down as well.
     moves: bool,
 }
 
-/// Discovery as one node sees it.
+/// The discovery service of one node.
 struct Discovery {
     address: SocketAddr,
     listener: Option<TcpListener>,
-    waiting: Vec<(Instant, Peer)>,
+    /// Requests that are rejected after [`BACKLOG_WAIT`], with their arrival times.
+    queued: Vec<(Instant, Peer)>,
+    /// Arrival times of all requests.
     requests: Vec<Instant>,
-    /// Answered watches, which stay open.
+    /// Requests since the return of discovery, which stay open. Only the first one gets a response.
     watches: Vec<Peer>,
 }
 
@@ -91,13 +93,13 @@
         Discovery {
             address: listener.local_addr().unwrap(),
             listener: Some(listener),
-            waiting: Vec::new(),
+            queued: Vec::new(),
             requests: Vec::new(),
             watches: Vec::new(),
         }
     }
 
-    /// The next request that waits.
+    /// Accepts a waiting connection, if there is one, and reads its request.
     fn next_request(&mut self) -> Option<Peer> {
         let mut peer = try_accept(self.listener.as_ref()?)?;
         peer.read_until(b"\r\n\r\n");
@@ -105,31 +107,31 @@
         Some(peer)
     }
 
-    /// One step during the outage.
+    /// Handles the waiting requests during the outage.
     fn fail_requests(&mut self, failure: Failure) {
         while let Some(request) = self.next_request() {
             if failure == Failure::Backlog {
-                self.waiting.push((Instant::now(), request));
+                self.queued.push((Instant::now(), request));
             } else {
                 failure.end(request);
             }
         }
-        // It goes behind the first request, which tells that the node watches.
+        // The listener is closed only after the first request, which shows that the node watches discovery.
         if failure == Failure::Refused && !self.requests.is_empty() {
             self.listener = None;
         }
-        self.reject_waiting();
+        self.reject_queued();
     }
 
-    /// Ends the requests of a crowded service whose time is over.
-    fn reject_waiting(&mut self) {
+    /// Rejects the requests that have been queued for [`BACKLOG_WAIT`].
+    fn reject_queued(&mut self) {
         let is_over = |(since, _): &(Instant, Peer)| since.elapsed() >= BACKLOG_WAIT;
-        while let Some(at) = self.waiting.iter().position(is_over) {
-            Failure::Backlog.end(self.waiting.remove(at).1);
+        while let Some(at) = self.queued.iter().position(is_over) {
+            Failure::Backlog.end(self.queued.remove(at).1);
         }
     }
 
-    /// One step after the return.
+    /// Handles the waiting requests after the outage.
     fn answer_requests(&mut self, list: &Value) {
         if self.listener.is_none() {
             self.listener = Some(TcpListener::bind(self.address).unwrap());
@@ -140,17 +142,18 @@
             }
             self.watches.push(request);
         }
-        self.reject_waiting();
+        self.reject_queued();
     }
 }
 
-/// What was seen after the return of discovery.
+/// Times from the return of discovery, and the requests before it.
 #[derive(Debug)]
 struct Outcome {
-    /// The first request to discovery.
+    /// When the first request reached discovery; None if none did.
     first_poll: Option<Duration>,
-    /// The last request that was sent to the draining server.
+    /// When the draining server received its last request; zero if that was before the return.
     last_sent: Duration,
+    /// Number of requests that the draining server received before the return.
     sent_before: usize,
 }
 
@@ -165,7 +168,8 @@
         .start()
 }
 
-fn play(case: Case) -> Outcome {
+/// Runs the node through the outage, during which one of its two servers starts to drain.
+fn run(case: Case) -> Outcome {
     let ([first, second], targets) = two_servers();
     let mut draining = targets[0].clone();
     draining["state"] = json!("terminating");
@@ -181,7 +185,7 @@
     let mut traffic = Traffic::to(&node);
     let started = Instant::now();
     let mut has_moved = false;
-    let returned = loop {
+    let returned_at = loop {
         discovery.fail_requests(case.failure);
         // The outage begins with the first request.
         let down_for = discovery.requests.first().map(Instant::elapsed);
@@ -207,7 +211,7 @@
         other.poll();
         std::thread::sleep(POLL_INTERVAL);
     };
-    while returned.elapsed() < ANNOUNCED_AFTER + GRACE * 2 {
+    while returned_at.elapsed() < ANNOUNCED_AFTER + GRACE * 2 {
         discovery.answer_requests(&list);
         traffic.step();
         draining.poll();
@@ -215,17 +219,19 @@
         std::thread::sleep(POLL_INTERVAL);
     }
     drop(draining);
-    let last_sent = arrivals.last().expect("the draining server had no request");
-    let first_poll = discovery.requests.iter().find(|at| **at > returned);
+    let last_sent = arrivals
+        .last()
+        .expect("the draining server received no request");
+    let first_poll = discovery.requests.iter().find(|at| **at > returned_at);
     Outcome {
-        first_poll: first_poll.map(|at| *at - returned),
-        last_sent: last_sent.saturating_duration_since(returned),
-        sent_before: arrivals.iter().filter(|at| **at <= returned).count(),
+        first_poll: first_poll.map(|at| *at - returned_at),
+        last_sent: last_sent.saturating_duration_since(returned_at),
+        sent_before: arrivals.iter().filter(|at| **at <= returned_at).count(),
     }
 }
 
 fn cases() -> Vec<Case> {
-    let outages = std::env::var("OUTAGES_S").unwrap_or_else(|_| OUTAGES_S.to_string());
+    let outages = std::env::var("OUTAGES_S").unwrap_or_else(|_| DEFAULT_OUTAGES_S.to_string());
     let mut cases = Vec::new();
     for outage in outages.split(',') {
         let outage = Duration::from_secs(outage.parse().expect("seconds, separated by commas"));
@@ -246,23 +252,23 @@
 }
 
 #[test]
-fn change_made_during_an_outage_of_discovery_is_obeyed_in_time() {
-    let played: Vec<(Case, std::thread::JoinHandle<Outcome>)> = cases()
+fn change_made_during_an_outage_of_discovery_is_applied_in_time() {
+    let running: Vec<(Case, std::thread::JoinHandle<Outcome>)> = cases()
         .into_iter()
-        .map(|case| (case, std::thread::spawn(move || play(case))))
+        .map(|case| (case, std::thread::spawn(move || run(case))))
         .collect();
     let mut late = Vec::new();
     let mut longest = Duration::ZERO;
-    for (case, outcome) in played {
+    for (case, outcome) in running {
         let outcome = outcome.join().unwrap();
         let (first_poll, last_sent) = (outcome.first_poll, outcome.last_sent);
-        println!("{case:?}: first request after {first_poll:?}, last one sent after {last_sent:?}");
+        println!("{case:?}: first request to discovery after {first_poll:?}, last one to the server after {last_sent:?}");
         assert!(outcome.sent_before > 0, "{case:?}: {outcome:?}");
         longest = longest.max(outcome.last_sent);
         if outcome.last_sent > ANNOUNCED_AFTER + GRACE {
             late.push(format!("{case:?}: {outcome:?}"));
         }
     }
-    println!("longest time from the return to the last request sent: {longest:?}");
+    println!("longest time from the return of discovery to the last request to the draining server: {longest:?}");
     assert!(late.is_empty(), "{}", late.join("\n"));
 }
--- a/crates/sloewick/tests/hot_restart.rs
+++ b/crates/sloewick/tests/hot_restart.rs
@@ -1,4 +1,4 @@
-//! A second process beside the first on an inherited socket: upgrades lose no request.
+//! Hot restart: a second process serves the inherited listener beside the first one, so that an upgrade loses no request.
 
 mod support;
 
@@ -7,20 +7,20 @@
 
 use support::*;
 
-/// A builder of a process that inherits its clients' socket.
-fn heir(socket: &TcpListener, server: &TcpListener) -> NodeBuilder {
+/// A builder of a process that inherits the listener for clients.
+fn inheriting_node(socket: &TcpListener, server: &TcpListener) -> NodeBuilder {
     Node::before(server)
         .command(program_inheriting(socket))
         .listen(socket.local_addr().unwrap())
 }
 
-/// A process that inherits its clients' socket, and the address of its admin interface.
-fn start_heir(socket: &TcpListener, server: &TcpListener) -> (Node, SocketAddr) {
+/// Starts a process that inherits the listener for clients; returns it with the address of its admin interface.
+fn start_inheriting_node(socket: &TcpListener, server: &TcpListener) -> (Node, SocketAddr) {
     let admin = free_address();
-    (heir(socket, server).admin(admin).start(), admin)
+    (inheriting_node(socket, server).admin(admin).start(), admin)
 }
 
-/// A process's discovery responds with a complete list of this server.
+/// Responds to the process's request to discovery with a complete list, which contains this server.
 fn send_list(node: &Node, server: &TcpListener) {
     let list = endpoint_list(42, true, &[target("s-1", server)]);
     node.accept_discovery().1.send_http_json(&list);
@@ -32,7 +32,7 @@
     wait_until("the process is ready", || is_ready(admin));
 }
 
-/// Requests on connections of their own, which whichever process accepts them has to answer.
+/// Sends requests, each on its own connection, and asserts that the process that accepts the connection serves the request.
 fn assert_serves(socket: &TcpListener, server: &TcpListener, ids: &str) {
     for i in 0..6 {
         let mut client = Peer::new(TcpStream::connect(socket.local_addr().unwrap()).unwrap());
@@ -49,11 +49,11 @@
     let mut admins = Vec::new();
     for _ in 0..2 {
         let admin = free_address();
-        let node = heir(&socket, &server)
+        let node = inheriting_node(&socket, &server)
             .settings(settings_with_deadline(2000.0))
             .admin(admin)
             .start();
-        // Its list from discovery makes it ready; the one it was started with alone does not, yet.
+        // The list from discovery makes the process ready. The list in its configuration alone would do so only later.
         assert!(!is_ready(admin));
         make_ready(&node, admin, &server);
         nodes.push(node);
@@ -69,18 +69,19 @@
     let mut clients: Vec<Peer> = (0..8)
         .map(|_| Peer::new(TcpStream::connect(address).unwrap()))
         .collect();
-    wait_until("all are accepted", || {
+    wait_until("the old process has answered the first request", || {
         metric(admins[0], "answered.once") == 1
     });
     old.signal("TERM");
-    wait_until("the old one says no", || is_stopping(admins[0]));
-    // Old connections are served, whichever process has them, and so are new ones, by the new process.
+    wait_until("the old process is stopping", || is_stopping(admins[0]));
+    // Each request on an old connection is served by the process that has accepted it, and each on a new connection by the new
+    // process.
     for (i, client) in clients.iter_mut().enumerate() {
         exchange(client, &server, &format!("kept-{i}")).close();
     }
     assert!(
         old.wait().success(),
-        "it ends once its clients have been let go"
+        "the old process exits with success after it has closed its clients"
     );
     for i in 0..8 {
         let mut client = Peer::new(TcpStream::connect(address).unwrap());
@@ -90,7 +91,7 @@
     assert!(is_ready(admins[1]));
 }
 
-/// The next process loads what the first one learned; a file that is no snapshot of this node is discarded.
+/// The second process loads the snapshot of the first one. A file that is not a snapshot of this node is discarded.
 #[test]
 fn second_process_loads_the_snapshot_of_the_first_and_ignores_damaged_ones() {
     let server = listener();
@@ -100,12 +101,12 @@
     let start = || {
         let mut command = program_inheriting(&socket);
         command.env("TMPDIR", folder.path()).stderr(Stdio::piped());
-        let node = heir(&socket, &server).command(command).start();
+        let node = inheriting_node(&socket, &server).command(command).start();
         send_list(&node, &server);
         node
     };
     let mut first = start();
-    wait_until("the first one keeps what it knows", || {
+    wait_until("the first process has saved a snapshot", || {
         snapshot_file.exists()
     });
     let snapshot = std::fs::read(&snapshot_file).unwrap();
@@ -118,12 +119,12 @@
     let stderr = first.shut_down_and_read_stderr();
     assert!(
         !stderr.contains("handover"),
-        "the first one found nothing and could keep all: {stderr}"
+        "the first process had no snapshot to load, and could save its own: {stderr}"
     );
-    // No process writes the file any more.
-    let half = &snapshot[..snapshot.len() / 2];
+    // All processes have exited, so that none overwrites the file.
+    let first_half = &snapshot[..snapshot.len() / 2];
     for (bytes, why) in [
-        (half, "is torn"),
+        (first_half, "is torn"),
         (&b"{}"[..], "is no snapshot"),
         (&snapshot[..0], "is torn"),
     ] {
@@ -136,9 +137,9 @@
     }
 }
 
-// Guards against the age of a snapshot from two readings of a wall clock that was stepped between them.
+// Guards against an age that is computed from two readings of the wall clock, between which the clock was stepped.
 #[test]
-fn snapshot_is_as_old_as_it_is_although_the_wall_clock_is_stepped() {
+fn age_of_a_snapshot_is_right_although_the_wall_clock_is_stepped() {
     const SAVE_INTERVAL_MS: u64 = 1_000;
     let (server, socket) = (listener(), listener());
     let folder = tempfile::tempdir().unwrap();
@@ -150,12 +151,12 @@
             .env("LD_PRELOAD", preload_library("stepped_clock"))
             .env("WALL_CLOCK_STEP", step_seconds.to_string())
             .stderr(Stdio::piped());
-        let node = heir(&socket, &server).command(command).start();
+        let node = inheriting_node(&socket, &server).command(command).start();
         send_list(&node, &server);
         node
     };
     let _first = start(0);
-    wait_until("the first one keeps what it knows", || {
+    wait_until("the first process has saved a snapshot", || {
         snapshot_file.exists()
     });
     for step_seconds in [8, 3_600, -3_600] {
@@ -173,9 +174,10 @@
     }
 }
 
-/// Calls that write the snapshot fail for a while; it is kept with the first that does not, and nothing half-written stays.
+/// The first system calls that write the snapshot fail. The first save without a failure succeeds, and no partly written file
+/// remains.
 #[test]
-fn snapshot_is_kept_once_the_folder_can_be_written_again() {
+fn snapshot_is_saved_once_its_folder_can_be_written_again() {
     const ENOSPC: i32 = 28;
     const EIO: i32 = 5;
     const FAILURES: usize = 2;
@@ -185,13 +187,15 @@
         let mut command = program_inheriting(&socket);
         command.env("TMPDIR", folder.path()).stderr(Stdio::piped());
         let_calls_fail(&mut command, call, errno, FAILURES);
-        let mut node = heir(&socket, &server).command(command).start();
+        let mut node = inheriting_node(&socket, &server).command(command).start();
         send_list(&node, &server);
         let files = || -> Vec<_> {
             let entries = std::fs::read_dir(folder.path()).unwrap();
             entries.map(|entry| entry.unwrap().file_name()).collect()
         };
-        wait_until("the snapshot is kept", || files() == ["sloewick-handover"]);
+        wait_until("the folder contains only the snapshot", || {
+            files() == ["sloewick-handover"]
+        });
         assert_serves(&socket, &server, "still");
         let stderr = node.shut_down_and_read_stderr();
         let failures = stderr.matches("handover: not kept: ").count();
@@ -202,10 +206,10 @@
 #[test]
 fn old_process_still_serves_when_the_new_one_is_never_ready_or_is_killed() {
     let (server, socket) = (listener(), listener());
-    let (old, old_admin) = start_heir(&socket, &server);
+    let (old, old_admin) = start_inheriting_node(&socket, &server);
     make_ready(&old, old_admin, &server);
-    // Discovery accepts its request and does not respond: it is not ready, and serves what it accepts all the same.
-    let (new, new_admin) = start_heir(&socket, &server);
+    // Discovery does not respond to the new process, which is therefore not ready; it still serves the clients that it accepts.
+    let (new, new_admin) = start_inheriting_node(&socket, &server);
     let _unanswered = new.accept_discovery();
     assert!(!is_ready(new_admin));
     assert_serves(&socket, &server, "beside");
@@ -215,11 +219,11 @@
     assert!(is_ready(old_admin));
 }
 
-/// The old process responds to what it has accepted, whatever happens to the new one.
+/// The old process serves the requests that it has accepted, even if the new process is killed.
 #[test]
-fn death_of_the_new_process_while_the_old_one_stops_loses_no_accepted_request() {
+fn kill_of_the_new_process_while_the_old_one_stops_loses_no_accepted_request() {
     let (server, socket) = (listener(), listener());
-    let (mut old, old_admin) = start_heir(&socket, &server);
+    let (mut old, old_admin) = start_inheriting_node(&socket, &server);
     make_ready(&old, old_admin, &server);
     let mut waiting: Vec<Peer> = (0..4).map(|_| old.client()).collect();
     let mut conns: Vec<(String, Peer)> = Vec::new();
@@ -228,10 +232,10 @@
         let mut conn = accept(&server);
         conns.push((conn.read_command()[2].clone(), conn));
     }
-    let (new, new_admin) = start_heir(&socket, &server);
+    let (new, new_admin) = start_inheriting_node(&socket, &server);
     make_ready(&new, new_admin, &server);
     old.signal("TERM");
-    wait_until("the old one stops", || is_stopping(old_admin));
+    wait_until("the old process is stopping", || is_stopping(old_admin));
     drop(new);
     for (id, conn) in &mut conns {
         conn.send(hit_reply(id.as_bytes()));
@@ -241,8 +245,8 @@
         assert_eq!(client.read_to_end(), "");
     }
     assert!(old.wait().success());
-    // A third one finds the clients' socket as it was.
-    let (third, third_admin) = start_heir(&socket, &server);
+    // The inherited listener can still be used by a third process.
+    let (third, third_admin) = start_inheriting_node(&socket, &server);
     make_ready(&third, third_admin, &server);
     assert_serves(&socket, &server, "third");
 }
@@ -250,22 +254,22 @@
 #[test]
 fn second_upgrade_during_the_first_leaves_one_process_and_loses_no_request() {
     let (server, socket) = (listener(), listener());
-    let (mut first, first_admin) = start_heir(&socket, &server);
+    let (mut first, first_admin) = start_inheriting_node(&socket, &server);
     make_ready(&first, first_admin, &server);
     let mut waiting = first.client();
     waiting.send_get("held");
     let mut conn = accept_request(&server, "held");
-    let (mut second, second_admin) = start_heir(&socket, &server);
+    let (mut second, second_admin) = start_inheriting_node(&socket, &server);
     make_ready(&second, second_admin, &server);
     first.signal("TERM");
-    let (third, third_admin) = start_heir(&socket, &server);
+    let (third, third_admin) = start_inheriting_node(&socket, &server);
     make_ready(&third, third_admin, &server);
     second.signal("TERM");
     conn.send(hit_reply(b"held"));
     assert_eq!(
         waiting.read_bulk(),
         b"held",
-        "the first one still answers what it has taken"
+        "the first process serves the request that it has accepted"
     );
     assert!(first.wait().success() && second.wait().success());
     assert_serves(&socket, &server, "third");
