--- a/crates/testbed/src/checker/history.rs
+++ b/crates/testbed/src/checker/history.rs
@@ -1,7 +1,8 @@
-//! What has been observed so far, as the rules need it: the requests, and what each node can know of the servers.
+//! The state that checks derive their findings from: the requests of the run, and which states of the servers each node
+//! has been notified of.
 //!
-//! Rules read the history as it was before the observation that they look at; [`History::apply`] takes the
-//! observation up afterwards. Requests are forgotten some time after they began, which bounds the memory of a run.
+//! Checks read the history as it was before the observation that they check; [`History::apply`] adds the observation
+//! afterwards. Requests are removed some time after they began, which bounds the memory of a run.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -12,19 +13,20 @@
 };
 use crate::requirements::{Repeat, Requirements, MISBEHAVING_CLIENT_RESPONSE_LIMIT};
 
-/// Observations of one request that are kept for the report of a violation.
+/// Largest number of observations of one request that are stored for the report of a violation.
 const MAX_OBSERVATIONS_PER_REQUEST: usize = 40;
-/// How long a request is remembered after it began, for late effects of it.
+/// Time after its begin for which a request is stored, so that its late effects can be checked.
 const REQUEST_RETENTION: Micros = 20_000_000;
-/// A change counts as announced this long after discovery had it and could be reached, whatever became of the polls.
+/// A node counts as notified of a change this long after discovery had it and was reachable, even if all polls failed.
 const ANNOUNCEMENT_DEADLINE: Micros = 6_000_000;
 
 /// An attempt of a request at a server.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) number: u64,
+    /// When the server read its last byte.
     pub(crate) at: Micros,
-    /// None until the server reported what became of it.
+    /// None until the server reported it.
     pub(crate) outcome: Option<AttemptOutcome>,
 }
 
@@ -33,14 +35,16 @@
 pub(crate) struct Request {
     pub(crate) node: usize,
     pub(crate) class: usize,
-    /// How long its client waits.
+    /// How long its client waits for the answer.
     pub(crate) budget: Micros,
-    /// The first request of this client for the same thing: itself, unless it is a client's retry.
+    /// Id of the client's first request for the same thing; its own id unless it is a client's retry.
     pub(crate) first: Id,
     pub(crate) idempotency_key: Option<Id>,
+    /// When its client disconnected before the answer; None if it did not.
     pub(crate) disconnected: Option<Micros>,
+    /// The final answer and when its client received it; None until then.
     pub(crate) answered: Option<(Micros, Answer)>,
-    /// No answer is due: its node died, stood still, or the client sent it again to another node.
+    /// No answer is due: its node was killed or suspended, or the client sent it again to another node.
     pub(crate) excused: bool,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) effects: u32,
@@ -48,7 +52,7 @@
 }
 
 impl Request {
-    /// Whether some attempt was not rejected by its server, and so may have run.
+    /// Whether some attempt may have run: its server has not reported that it rejected the attempt.
     pub(crate) fn may_have_run(&self) -> bool {
         self.attempts
             .iter()
@@ -56,59 +60,60 @@
     }
 
     /// Whether some attempt ran.
-    pub(crate) fn ran(&self) -> bool {
+    pub(crate) fn was_executed(&self) -> bool {
         self.attempts
             .iter()
             .any(|a| a.outcome == Some(AttemptOutcome::Executed))
     }
 }
 
-/// When nodes were notified of the servers' states.
+/// When each node was notified of the servers' states.
 ///
-/// A node counts as notified of discovery's present state of a server after [`ANNOUNCEMENT_DEADLINE`] even when no
-/// message reached it.
+/// A node counts as notified of discovery's current state of a server after [`ANNOUNCEMENT_DEADLINE`], even if it
+/// received no message about it.
 #[derive(Default)]
 pub(crate) struct NodeKnowledge {
-    /// By node and server: since when the node knows that the server is draining or gone.
+    /// By node and server: when the node was notified that the server is draining or removed.
     end_announced: HashMap<(usize, usize), Micros>,
-    /// By node and server: since when the node knows of the server's start.
+    /// By node and server: when the node was notified of the server's start.
     start_announced: HashMap<(usize, usize), Micros>,
-    /// Discovery's state of each server, and since when.
+    /// By server: discovery's current state of it, and since when.
     discovered: HashMap<usize, (Micros, AnnouncedState)>,
-    /// Since when discovery can be reached.
+    /// Since when discovery has been reachable; None while it is not.
     reachable_since: Option<Micros>,
     node_started: HashMap<usize, Micros>,
     node_resumed: HashMap<usize, Micros>,
 }
 
 impl NodeKnowledge {
-    /// When a node was notified in a message that a server is draining or gone.
+    /// When a node was notified by a message that a server is draining or removed; None if it was not.
     pub(crate) fn end_announced(&self, node: usize, server: usize) -> Option<Micros> {
         self.end_announced.get(&(node, server)).copied()
     }
 
-    /// When a node was notified in a message of a server's start.
+    /// When a node was notified by a message of a server's start; None if it was not.
     pub(crate) fn start_announced(&self, node: usize, server: usize) -> Option<Micros> {
         self.start_announced.get(&(node, server)).copied()
     }
 
-    /// When a node counts as notified that a server is draining or gone, if that is discovery's present state.
+    /// When a node counts as notified that a server is draining or removed; None unless that is discovery's current
+    /// state.
     pub(crate) fn end_due(&self, node: usize, server: usize) -> Option<Micros> {
         self.due(node, server, false)
     }
 
-    /// Whether a node has been notified of a server's start, or counts as notified.
+    /// Whether a node has been notified of a server's start or counts as notified at this time.
     pub(crate) fn knows_start(&self, node: usize, server: usize, at: Micros) -> bool {
         self.start_announced.contains_key(&(node, server))
             || self.due(node, server, true).is_some_and(|due| due <= at)
     }
 
-    /// Whether a node has been started before.
+    /// Whether a process of this node has been started before.
     pub(crate) fn started_before(&self, node: usize) -> bool {
         self.node_started.contains_key(&node)
     }
 
-    /// When a node that had been stopped by a signal went on for the last time.
+    /// When a suspended node was last resumed; None if it never was.
     pub(crate) fn resumed(&self, node: usize) -> Option<Micros> {
         self.node_resumed.get(&node).copied()
     }
@@ -143,7 +148,7 @@
     }
 
     fn discovered(&mut self, at: Micros, server: usize, state: AnnouncedState) {
-        // From draining to gone nothing is new: the first time counts.
+        // A change from draining to removed does not restart the deadline.
         let since = self
             .discovered
             .get(&server)
@@ -160,7 +165,7 @@
 
     fn node_resumed(&mut self, at: Micros, node: usize) {
         self.node_resumed.insert(node, at);
-        // What discovery wrote while the node was stopped can be read from now on.
+        // The node can read only from now on what discovery sent while it was suspended.
         for ((of, _), announced) in &mut self.end_announced {
             if *of == node {
                 *announced = at.max(*announced);
@@ -169,14 +174,15 @@
     }
 }
 
-/// Everything that rules share.
+/// The state of the run that all checks share.
 pub(crate) struct History {
     pub(crate) requirements: Requirements,
-    /// Others than the emulated clients may send requests: unknown requests are no violation.
+    /// Others than the emulated clients may send requests, so unknown requests are no violation.
     pub(crate) allows_unknown_requests: bool,
     pub(crate) knowledge: NodeKnowledge,
     requests: HashMap<Id, Request>,
-    forget_at: BTreeMap<Micros, Vec<Id>>,
+    /// Requests by the time at which they are removed.
+    expiries: BTreeMap<Micros, Vec<Id>>,
     ended_nodes: BTreeSet<usize>,
     paused_nodes: BTreeSet<usize>,
 }
@@ -188,7 +194,7 @@
             allows_unknown_requests: false,
             knowledge: NodeKnowledge::default(),
             requests: HashMap::new(),
-            forget_at: BTreeMap::new(),
+            expiries: BTreeMap::new(),
             ended_nodes: BTreeSet::new(),
             paused_nodes: BTreeSet::new(),
         }
@@ -198,7 +204,7 @@
         self.requests.get(id)
     }
 
-    /// How a class of requests may be repeated; unknown classes may not.
+    /// How requests of a class may be repeated; those of an unknown class may not.
     pub(crate) fn repeat(&self, class: usize) -> Repeat {
         self.requirements
             .classes
@@ -212,12 +218,12 @@
         self.ended_nodes.contains(&node)
     }
 
-    /// Whether a node's process is stopped by a signal.
+    /// Whether a node's process is suspended (SIGSTOP).
     pub(crate) fn is_paused(&self, node: usize) -> bool {
         self.paused_nodes.contains(&node)
     }
 
-    /// Whether a node was stopped for some of the time in which misbehaving clients have to get a response.
+    /// Whether a node was suspended during some of the time within which it has to answer a misbehaving client.
     pub(crate) fn was_paused_recently(&self, node: usize, at: Micros) -> bool {
         let recent = |resumed| at - resumed <= MISBEHAVING_CLIENT_RESPONSE_LIMIT;
         self.is_paused(node) || self.knowledge.resumed(node).is_some_and(recent)
@@ -228,16 +234,16 @@
         self.requests.get(id).map_or(Vec::new(), |r| r.log.clone())
     }
 
-    /// Forgets requests whose time has come.
+    /// Removes requests that began more than [`REQUEST_RETENTION`] ago.
     pub(crate) fn forget_old_requests(&mut self, now: Micros) {
-        while let Some(entry) = self.forget_at.first_entry().filter(|e| *e.key() < now) {
+        while let Some(entry) = self.expiries.first_entry().filter(|e| *e.key() < now) {
             for id in entry.remove() {
                 self.requests.remove(&id);
             }
         }
     }
 
-    /// Adds an observation to the log of its request; done before rules look at it.
+    /// Adds an observation to the log of its request. Called before the checks, so that a violation's report has it.
     pub(crate) fn log(&mut self, observation: &Observation) {
         let Some(id) = observation.event.request() else {
             return;
@@ -248,7 +254,7 @@
         }
     }
 
-    /// Takes up an observation; done after rules have looked at it.
+    /// Updates the state by an observation. Called after the checks.
     pub(crate) fn apply(&mut self, observation: &Observation) {
         self.apply_to_requests(observation);
         self.apply_to_nodes(observation);
@@ -329,18 +335,15 @@
             idempotency_key: idempotency_key.clone(),
             disconnected: None,
             answered: None,
-            // Sent to a node that had died or been stopped, before the client could see that.
+            // The client may have sent it before it could see that the node had ended or was suspended.
             excused: self.has_ended(*node) || self.is_paused(*node),
             attempts: Vec::new(),
             effects: 0,
             log: vec![observation.clone()],
         };
         self.requests.insert(id.clone(), request);
-        let forget_at = observation.at + REQUEST_RETENTION;
-        self.forget_at
-            .entry(forget_at)
-            .or_default()
-            .push(id.clone());
+        let expiry = observation.at + REQUEST_RETENTION;
+        self.expiries.entry(expiry).or_default().push(id.clone());
     }
 
     fn apply_to_nodes(&mut self, observation: &Observation) {
@@ -364,7 +367,7 @@
                 self.knowledge.discovered(at, *server, *state);
             }
             Event::DiscoveryReachable { reachable } => {
-                // Discovery that moves to another address stays reachable.
+                // Discovery remains reachable while it moves to another address.
                 let since = self.knowledge.reachable_since.unwrap_or(at);
                 self.knowledge.reachable_since = reachable.then_some(since);
             }
@@ -391,7 +394,7 @@
         }
     }
 
-    /// The requests that a killed or stopped node had in flight are their clients' to retry.
+    /// Excuses a killed or suspended node from answering its requests in flight: their clients have to retry them.
     fn excuse_pending_requests(&mut self, node: usize) {
         self.requests
             .values_mut()
--- a/crates/testbed/src/checker/mod.rs
+++ b/crates/testbed/src/checker/mod.rs
@@ -1,9 +1,9 @@
-//! The checker: decides from what the peers of the nodes observed whether the rules held.
+//! The checker decides from the observations of the nodes' peers whether the nodes kept the rules of the service.
 //!
-//! [`observations`] defines what a peer can report, [`violation`] the rules of the service, `rules` holds one file for
-//! each check. The checker takes nothing from the nodes themselves. Times are as the peers saw them; where a node can
-//! have known less than a peer, the checker allows for the longest delay of the network, so that it never reports a
-//! node for what it could not see.
+//! [`observations`] defines what a peer can report, [`violation`] defines the rules, and `rules` has one file for each
+//! check. The checker has no input from the nodes themselves. Times are those of the peers. Where a node may have learned
+//! of an event later than a peer, the checker allows for the longest delay of the network, so that it reports no node for
+//! something that the node could not know yet.
 
 mod history;
 #[allow(missing_docs)] // Fields of events are not all documented yet.
@@ -19,42 +19,41 @@
 use rules::{Check, Finding};
 pub use violation::{Rule, Violation};
 
-/// Violations kept of one run.
+/// Largest number of violations that are stored for one run; further ones are dropped.
 const MAX_VIOLATIONS: usize = 50;
 
-/// Requests whose client disconnected before their answer, and how many attempts of those began over 0.1 s later, and
-/// later than is ever allowed.
+/// Counts of requests whose client disconnected before the answer, and of the attempts that began afterwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DisconnectStatistics {
     /// Requests whose client disconnected before their answer.
     pub requests: u64,
-    /// Attempts for these that began over 0.1 s after the disconnection.
+    /// Attempts of these requests that began over 0.1 s after the disconnection.
     pub late: u64,
-    /// Attempts for these that began later than is ever allowed.
+    /// Attempts of these requests that began after the longest delay that is allowed.
     pub sent_on: u64,
 }
 
-/// Figures that checks collect besides violations.
+/// Statistics that checks collect besides violations.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Statistics {
-    /// Attempts for clients that had disconnected.
+    /// Attempts of requests whose clients had disconnected.
     pub disconnects: DisconnectStatistics,
-    /// The most that a server that is warming up was sent by all nodes, as a fraction of what it can take.
+    /// Highest load that all nodes together sent to a server during its slow start, as a fraction of its capacity.
     pub max_cold_load: f64,
 }
 
-/// Checks observations against the rules; owns the history of the run and the violations found.
+/// Checks observations against the rules. It owns the history of the run and the violations found.
 pub struct Checker {
     history: History,
     checks: Vec<Box<dyn Check>>,
-    /// Violations so far, at most `MAX_VIOLATIONS`.
+    /// Violations found so far, at most `MAX_VIOLATIONS`.
     pub violations: Vec<Violation>,
-    /// Observations so far.
+    /// Number of observations checked so far.
     pub checked: u64,
 }
 
 impl Checker {
-    /// A checker for a run with these requirements.
+    /// Creates a checker for a run with these requirements.
     pub fn new(requirements: Requirements) -> Checker {
         Checker {
             history: History::new(requirements),
@@ -64,29 +63,29 @@
         }
     }
 
-    /// Whether requests may come from others than the emulated clients; unknown requests are then no violation.
+    /// Sets whether others than the emulated clients may send requests. If so, unknown requests are no violation.
     pub fn allow_unknown_requests(&mut self, allow: bool) {
         self.history.allows_unknown_requests = allow;
     }
 
-    /// A node that rejects all that it gets is a violation from now on.
+    /// Also checks from now on that nodes do not reject all requests that they receive.
     pub fn require_service(&mut self) {
         self.checks.push(rules::service());
     }
 
-    /// Whether this node's process is stopped by a signal.
+    /// Whether this node's process is suspended (SIGSTOP).
     pub fn is_paused(&self, node: usize) -> bool {
         self.history.is_paused(node)
     }
 
-    /// Adds a violation that was found outside the observations.
+    /// Adds a violation that was found by other means than observations.
     pub fn add(&mut self, violation: Violation) {
         if self.violations.len() < MAX_VIOLATIONS {
             self.violations.push(violation);
         }
     }
 
-    /// Takes up an observation; they come in the order of their times.
+    /// Checks an observation. Observations have to be passed in the order of their times.
     pub fn observe(&mut self, observation: &Observation) {
         self.checked += 1;
         self.advance(observation.at);
@@ -95,13 +94,13 @@
         self.history.apply(observation);
     }
 
-    /// Ends the run at this time: reports what is still due.
+    /// Ends the run at this time and reports violations that can be found only then.
     pub fn finish(&mut self, now: Micros) {
         self.advance(now);
         self.run_checks(|check, history| check.finish(now, history));
     }
 
-    /// The figures collected so far.
+    /// The statistics collected so far.
     pub fn statistics(&self) -> Statistics {
         let mut statistics = Statistics::default();
         for check in &self.checks {
--- a/crates/testbed/src/checker/rules/attempt_after_answer.rs
+++ b/crates/testbed/src/checker/rules/attempt_after_answer.rs
@@ -23,7 +23,7 @@
             return Some(Finding::of(
                 observation,
                 id,
-                "sent on after its final answer",
+                "attempt began after the final answer",
             ));
         }
         None
--- a/crates/testbed/src/checker/rules/attempt_after_disconnect.rs
+++ b/crates/testbed/src/checker/rules/attempt_after_disconnect.rs
@@ -1,7 +1,7 @@
 //! No attempt of a request begins long after its client has disconnected.
 //!
-//! Each attempt that begins later than [`MAX_DELAY`] is a violation, and so is each later than [`SOON`] from the third
-//! of a run on: the first two are put down to chance.
+//! An attempt that begins later than [`MAX_DELAY`] is a violation. An attempt that begins later than [`SOON`] is late, and
+//! late attempts are violations from the third of a run on, since two may occur by chance.
 
 use sloewick_decision::api::Micros;
 
@@ -11,15 +11,15 @@
 use crate::checker::{Check, Finding};
 use crate::checker::{DisconnectStatistics, Statistics};
 
-/// Longest time from a client's disconnection to the last attempt of its request, with 50 ms that time limits are
-/// longer on sockets.
+/// Longest time from a client's disconnection to the begin of the last attempt of its request. It contains the 50 ms that
+/// are added to every time limit for runs on sockets.
 const MAX_DELAY: Micros = 300_000 + 50_000;
-/// Time after which an attempt counts as late.
+/// Time from a client's disconnection after which an attempt counts as late.
 const SOON: Micros = 100_000;
-/// Late attempts of a run that are no violation.
+/// Number of late attempts in a run that are no violation.
 const MAX_LATE_ATTEMPTS: u64 = 2;
 
-/// Counts late attempts.
+/// Counts requests whose clients disconnected, and late attempts of them.
 #[derive(Default)]
 pub(super) struct AttemptAfterDisconnect {
     statistics: DisconnectStatistics,
@@ -43,15 +43,15 @@
         if delay > MAX_DELAY {
             self.statistics.sent_on += 1;
             return Some(format!(
-                "sent on {milliseconds} ms after its client had left"
+                "attempt began {milliseconds} ms after the client disconnected"
             ));
         }
         let late = self.statistics.late;
         let limit = SOON / 1000;
         (late > MAX_LATE_ATTEMPTS).then(|| {
             format!(
-                "sent on {milliseconds} ms after its client had left, the attempt number {late} that was over \
-                 {limit} ms late"
+                "attempt began {milliseconds} ms after the client disconnected: late attempt number {late}, each \
+                 over {limit} ms"
             )
         })
     }
@@ -71,10 +71,11 @@
             Event::Attempt { id, first_byte, .. } => {
                 let request = history.request(id)?;
                 let disconnected = request.disconnected?;
-                // A node that was stopped meanwhile learns of it when it goes on.
+                // A node that was suspended meanwhile learns of the disconnection when it is resumed.
                 let resumed = history.knowledge.resumed(request.node);
                 let known = disconnected.max(resumed.unwrap_or(disconnected));
-                // The news of it takes as long to the node as the attempt takes from it.
+                // One network delay for the disconnection to reach the node, and one for the attempt to reach the
+                // server.
                 let delay = first_byte - 2 * history.requirements.network_delay - known;
                 let why = self.attempted(delay)?;
                 Some(Finding::of(observation, id, why))
--- a/crates/testbed/src/checker/rules/attempt_to_ended_server.rs
+++ b/crates/testbed/src/checker/rules/attempt_to_ended_server.rs
@@ -1,11 +1,12 @@
-//! A node sends nothing new to a server later than the grace period after it was announced as draining or gone.
+//! A node sends no new request to a server later than the grace period after it was notified that the server is draining
+//! or removed.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A node sends nothing new to a server later than the grace period after it was announced as draining or gone.
+/// Compares the begin of each attempt with the announcement that its server is draining or removed.
 pub(super) struct AttemptToEndedServer;
 
 impl Check for AttemptToEndedServer {
@@ -31,13 +32,13 @@
         if sent - since <= history.requirements.grace {
             return None;
         }
-        let how = if announced == Some(since) {
-            "was told"
+        let notified = if announced == Some(since) {
+            "was notified"
         } else {
-            "counts as told"
+            "counts as notified"
         };
         let why = format!(
-            "node {node} sent to box {server} {} ms after it {how} that this drains or is gone",
+            "node {node} sent to cache server {server} {} ms after it {notified} that the server is draining or removed",
             (sent - since) / 1000
         );
         Some(Finding::of(observation, id, why))
--- a/crates/testbed/src/checker/rules/closed_connections.rs
+++ b/crates/testbed/src/checker/rules/closed_connections.rs
@@ -1,5 +1,5 @@
-//! At most one in [`REQUESTS_PER_CLOSED_CONNECTION`] requests has its new connection closed without an answer: a node
-//! without capacity rejects.
+//! At most one in [`REQUESTS_PER_CLOSED_CONNECTION`] requests has its new connection closed without an answer. A node
+//! without capacity has to reject requests instead.
 
 use sloewick_decision::api::Micros;
 
@@ -8,9 +8,10 @@
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
+/// Requests of a run for each new connection that may be closed without an answer.
 const REQUESTS_PER_CLOSED_CONNECTION: u64 = 200;
 
-/// Counts requests, and those whose new connection was closed unread.
+/// Counts requests, and those whose new connection was closed before the request was forwarded.
 #[derive(Default)]
 pub(super) struct ClosedConnections {
     requests: u64,
@@ -48,9 +49,9 @@
             return None;
         }
         let why = format!(
-            "of {} requests {} had their new connection closed with no answer: over one in \
+            "{} of {} requests had their new connection closed without an answer: over one in \
              {REQUESTS_PER_CLOSED_CONNECTION}",
-            self.requests, self.closed
+            self.closed, self.requests
         );
         Some(Finding {
             at: now,
--- a/crates/testbed/src/checker/rules/cold_server_overload.rs
+++ b/crates/testbed/src/checker/rules/cold_server_overload.rs
@@ -1,7 +1,9 @@
-//! A server that is warming up is not sent more than it can take, and does not fail under its load.
+//! Nodes do not send a server more work during its slow start than it can process, and the server does not fail of it.
 //!
-//! Looked at is the work that all nodes sent within the time to a failure; a server's first overload is reported when
-//! nodes that knew of its start sent two thirds of that work.
+//! The check sums the work that all nodes sent to the server within [`Requirements::overload_window`]. It reports a
+//! server's first overload if at least two thirds of that work came from nodes that had been notified of its start.
+//!
+//! [`Requirements::overload_window`]: crate::requirements::Requirements::overload_window
 
 use std::collections::{HashMap, VecDeque};
 
@@ -13,14 +15,16 @@
 use crate::checker::Statistics;
 use crate::checker::{Check, Finding};
 
-/// An attempt that came to a server.
+/// The work of an attempt that a server received.
 #[derive(Debug)]
 struct Work {
+    /// When the server received it.
     at: Micros,
+    /// The node that sent it.
     node: usize,
-    /// The work drawn for this attempt.
+    /// Processing time drawn for this attempt.
     drawn: Micros,
-    /// The mean work of its class.
+    /// Mean processing time of its class.
     mean: Micros,
 }
 
@@ -28,16 +32,19 @@
 #[derive(Debug)]
 struct ColdServer {
     started: Micros,
-    /// Its speed once it is warm, as a fraction of a standard core.
+    /// Speed once it is warm, as a multiple of a standard core's.
     speed: f64,
+    /// An overload of it has been attributed; further ones are not reported.
     reported: bool,
 }
 
 /// Recent work of every server, and the servers that started cold.
 #[derive(Default)]
 pub(super) struct ColdServerOverload {
+    /// By server: the work of the overload window, oldest first.
     work: HashMap<usize, VecDeque<Work>>,
     cold: HashMap<usize, ColdServer>,
+    /// Highest load so far, as a fraction of what a server can process in the window.
     max_load: f64,
 }
 
@@ -51,25 +58,26 @@
         }
     }
 
-    /// Whether a server that is warming up was sent more than it can take and chance allows.
+    /// Describes the overload if a server in its slow start was sent more than its capacity, which allows for chance.
     fn check_load(&mut self, at: Micros, server: usize, history: &History) -> Option<String> {
         let limits = &history.requirements.cold;
         let cold = self.cold.get(&server)?;
         if cold.reported || at - cold.started >= limits.warm_up_time {
             return None;
         }
-        let fall = history.requirements.overload_window;
-        let capacity = limits.borne(cold.speed, at - cold.started, fall);
+        let window = history.requirements.overload_window;
+        let capacity = limits.capacity(cold.speed, at - cold.started, window);
         let mean_work = self.work.get(&server)?.iter().map(|w| w.mean);
-        let requests = mean_work.sum::<Micros>() as f64 / limits.unit();
+        let requests = mean_work.sum::<Micros>() as f64 / limits.least_work();
         self.max_load = self.max_load.max(requests / capacity);
         if requests <= capacity {
             return None;
         }
-        let what = format!("{requests:.1} requests of mean work, where it bears {capacity:.1}");
+        let what = format!("{requests:.1} requests of mean work, with a capacity of {capacity:.1}");
         self.attribute(at, server, history, &what, |work| work.mean)
     }
 
+    /// Describes the overload of which a server failed.
     fn failed(&mut self, at: Micros, server: usize, history: &History) -> Option<String> {
         let recent = self.work.get(&server).into_iter().flatten();
         let total: Micros = recent.map(|w| w.drawn).sum();
@@ -77,7 +85,8 @@
         self.attribute(at, server, history, &what, |work| work.drawn)
     }
 
-    /// The first overload of a server is the fault of the nodes that knew of its start, where they sent two thirds.
+    /// Describes a server's first overload if at least two thirds of its work came from nodes that had been notified of
+    /// its start.
     fn attribute(
         &mut self,
         at: Micros,
@@ -92,14 +101,14 @@
             }
         }
         let recent = || self.work.get(&server).into_iter().flatten();
-        let knew = |w: &&Work| history.knowledge.knows_start(w.node, server, at);
+        let from_notified = |w: &&Work| history.knowledge.knows_start(w.node, server, at);
         let total: Micros = recent().map(amount).sum();
-        let informed: Micros = recent().filter(knew).map(amount).sum();
-        (informed * 3 >= total * 2).then(|| {
+        let notified: Micros = recent().filter(from_notified).map(amount).sum();
+        (notified * 3 >= total * 2).then(|| {
             format!(
-                "box {server} fell: {what} in {} ms, {}% of it from nodes that knew of its start",
+                "cache server {server} was overloaded: {what} in {} ms, {}% of it from nodes that knew of its start",
                 history.requirements.overload_window / 1000,
-                100 * informed / total.max(1)
+                100 * notified / total.max(1)
             )
         })
     }
--- a/crates/testbed/src/checker/rules/connection_without_answer.rs
+++ b/crates/testbed/src/checker/rules/connection_without_answer.rs
@@ -23,18 +23,18 @@
             return None;
         };
         let request = history.request(id).filter(|r| r.answered.is_none())?;
-        // A value that broke off part way may be no fault of the node, and the client can tell.
-        let value_broke_off = *partial && request.ran();
-        // A connection that the node closes between requests may be crossed by a request that it has not read. Only what
-        // may be repeated is sent again, and shows then whether the node had read it.
+        // A server may have broken off the value, which the node passes on; the client can detect that.
+        let is_truncated_value = *partial && request.was_executed();
+        // The node may have closed an idle connection before it could read the request. Clients send only requests again
+        // that may be repeated; for those the check of resent requests finds out whether the node had read them.
         let crossed = !partial
             && request.attempts.is_empty()
             && history.repeat(request.class) == Repeat::Unsafe;
-        if value_broke_off || crossed || request.excused || history.has_ended(request.node) {
+        if is_truncated_value || crossed || request.excused || history.has_ended(request.node) {
             return None;
         }
         let why = format!(
-            "node {} ended the connection with no whole answer",
+            "node {} ended the connection without a complete answer",
             request.node
         );
         Some(Finding::of(observation, id, why))
--- a/crates/testbed/src/checker/rules/effect_after_rejection.rs
+++ b/crates/testbed/src/checker/rules/effect_after_rejection.rs
@@ -24,7 +24,7 @@
             return Some(Finding::of(
                 observation,
                 id,
-                "took effect though it was refused",
+                "took effect although it was rejected",
             ));
         }
         None
--- a/crates/testbed/src/checker/rules/effect_of_retry.rs
+++ b/crates/testbed/src/checker/rules/effect_of_retry.rs
@@ -1,4 +1,4 @@
-//! A client's retry takes no effect again where an earlier request for the same thing took effect.
+//! A client's retry has no effect if an earlier request for the same thing had one.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,15 +9,15 @@
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// How long an effect is remembered: far beyond the servers' deduplication window, a client's last retry and an
-/// overloaded origin.
+/// How long an effect is stored. This is far longer than the servers' deduplication window, the time until a client's
+/// last retry, and the delays of an overloaded origin.
 const EFFECT_RETENTION: Micros = 120_000_000;
 
 /// Effects by idempotency key, or by the first request where there is no key.
 #[derive(Default)]
 pub(super) struct EffectOfRetry {
     effects: HashMap<Id, u32>,
-    /// When each was first seen, oldest first.
+    /// Keys of `effects` with the time of the first effect, oldest first.
     first_seen: VecDeque<(Micros, Id)>,
 }
 
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Counts an effect; how many there were with this one.
+    /// Counts an effect; returns the number of effects of this key so far.
     fn count(&mut self, now: Micros, key: &Id) -> u32 {
         let count = self.effects.entry(key.clone()).or_default();
         *count += 1;
@@ -56,7 +56,7 @@
             return None;
         };
         let request = history.request(id)?;
-        // The client's key counts, whatever key the origin was sent.
+        // The client's own key takes precedence over the key that the origin received.
         let key = request
             .idempotency_key
             .as_ref()
@@ -64,9 +64,9 @@
         let key = key.unwrap_or(&request.first);
         self.forget_old_effects(observation.at);
         let count = self.count(observation.at, key);
-        // A second effect of the same request is reported as such.
+        // A second effect of the same request is reported by the check of repeated effects.
         if count > 1 && request.effects == 0 {
-            let why = format!("{key} took effect again, by another try");
+            let why = format!("{key} took effect again, by another request");
             return Some(Finding::of(observation, id, why));
         }
         None
--- a/crates/testbed/src/checker/rules/invalid_answer.rs
+++ b/crates/testbed/src/checker/rules/invalid_answer.rs
@@ -18,7 +18,7 @@
             return None;
         };
         let Some(request) = history.request(id) else {
-            let why = "an answer to a request that nobody sent";
+            let why = "an answer to a request that no client sent";
             return Some(Finding::of(observation, id, why));
         };
         if request.answered.is_some() {
@@ -26,13 +26,13 @@
         }
         match answer {
             Answer::Foreign(value) => {
-                let why = format!("served with what was not made for it: {value}");
+                let why = format!("served with a value that was not made for it: {value}");
                 Some(Finding::of(observation, id, why))
             }
-            Answer::Served if !request.ran() => Some(Finding::of(
+            Answer::Served if !request.was_executed() => Some(Finding::of(
                 observation,
                 id,
-                "served, and no box has served it",
+                "served, but no cache server has executed it",
             )),
             _ => None,
         }
--- a/crates/testbed/src/checker/rules/malformed_command.rs
+++ b/crates/testbed/src/checker/rules/malformed_command.rs
@@ -1,11 +1,11 @@
-//! Servers get only commands that clients sent.
+//! Cache servers receive only commands that clients sent.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// Servers get only commands that clients sent.
+/// Cache servers receive only commands that clients sent.
 pub(super) struct MalformedCommand;
 
 impl Check for MalformedCommand {
@@ -17,7 +17,7 @@
         let Event::MalformedCommand { server, bytes } = &observation.event else {
             return None;
         };
-        let why = format!("box {server} was sent what no client sent: {bytes}");
+        let why = format!("cache server {server} received a command that no client sent: {bytes}");
         Some(Finding::without_request(observation, why))
     }
 }
--- a/crates/testbed/src/checker/rules/malformed_request_ignored.rs
+++ b/crates/testbed/src/checker/rules/malformed_request_ignored.rs
@@ -1,11 +1,11 @@
-//! A client whose message cannot be read gets an error or a closed connection.
+//! A node answers a malformed request with an error or closes its connection.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A client whose message cannot be read gets an error or a closed connection.
+/// A node answers a malformed request with an error or closes its connection.
 pub(super) struct MalformedRequestIgnored;
 
 impl Check for MalformedRequestIgnored {
@@ -20,8 +20,9 @@
         if history.has_ended(*node) || history.was_paused_recently(*node, observation.at) {
             return None;
         }
-        let why =
-            format!("node {node} left a client that sent {what} with neither an error nor a close");
+        let why = format!(
+            "node {node} neither answered a malformed request nor closed its connection: {what}"
+        );
         Some(Finding::without_request(observation, why))
     }
 }
--- a/crates/testbed/src/checker/rules/malformed_request_served.rs
+++ b/crates/testbed/src/checker/rules/malformed_request_served.rs
@@ -1,11 +1,11 @@
-//! A message that cannot be read is not served.
+//! A node does not serve a malformed request.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A message that cannot be read is not served.
+/// A node does not serve a malformed request.
 pub(super) struct MalformedRequestServed;
 
 impl Check for MalformedRequestServed {
@@ -20,7 +20,7 @@
         else {
             return None;
         };
-        let why = format!("node {node} served what can't be read");
+        let why = format!("node {node} served a malformed request");
         Some(Finding::without_request(observation, why))
     }
 }
--- a/crates/testbed/src/checker/rules/mod.rs
+++ b/crates/testbed/src/checker/rules/mod.rs
@@ -1,7 +1,7 @@
 //! The checks, one file each.
 //!
-//! A check takes the observations that it is about, keeps what state it needs of its own and reports at most one
-//! violation for each. A new check is a new file and a line in [`all`].
+//! A check receives every observation, maintains state of its own if it needs any, and reports at most one violation for
+//! an observation. A new check needs a new file and a line in [`all`].
 
 mod attempt_after_answer;
 mod attempt_after_disconnect;
@@ -36,13 +36,13 @@
 use super::violation::Rule;
 use super::Statistics;
 
-/// What a check found; the checker makes a violation of it.
+/// A violation found by a check; the checker adds the rule and the observations of the request.
 pub(crate) struct Finding {
-    /// When, in microseconds since the run began.
+    /// Time of the violation, in microseconds since the run began.
     pub(crate) at: Micros,
-    /// The request that it is about.
+    /// The request concerned; None if the finding concerns no single request.
     pub(crate) request: Option<Id>,
-    /// What happened, for people.
+    /// Description of the violation.
     pub(crate) why: String,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A finding that is about no request, at the time of this observation.
+    /// A finding that concerns no single request, at the time of this observation.
     fn without_request(observation: &Observation, why: String) -> Finding {
         Finding {
             at: observation.at,
@@ -71,29 +71,29 @@
     /// The rule that its findings violate.
     fn rule(&self) -> Rule;
 
-    /// Looks at an observation; `history` is as it was before.
+    /// Checks an observation against the history before it.
     fn observe(&mut self, observation: &Observation, history: &History) -> Option<Finding>;
 
-    /// Time has passed: what was due before `now`.
+    /// Returns findings about everything that was due before `now`.
     fn advance(&mut self, _now: Micros, _history: &History) -> Vec<Finding> {
         Vec::new()
     }
 
-    /// The run has ended.
+    /// Checks what can be checked only at the end of the run, at `now`.
     fn finish(&mut self, _now: Micros, _history: &History) -> Option<Finding> {
         None
     }
 
-    /// Adds the figures that it collected.
+    /// Adds what this check collected to the statistics.
     fn collect(&self, _statistics: &mut Statistics) {}
 }
 
-/// The check that nodes serve, for runs in which a node that rejects everything has no excuse.
+/// The check that nodes do not reject everything, for runs whose faults do not justify that.
 pub(crate) fn service() -> Box<dyn Check> {
     Box::new(rejects_everything::RejectsEverything::default())
 }
 
-/// All checks. Violations by one observation are reported in this order.
+/// All checks that run in every scenario. Violations by the same observation are reported in this order.
 pub(crate) fn all() -> Vec<Box<dyn Check>> {
     vec![
         Box::new(unanswered_request::UnansweredRequest::default()),
--- a/crates/testbed/src/checker/rules/refused_connection.rs
+++ b/crates/testbed/src/checker/rules/refused_connection.rs
@@ -1,11 +1,11 @@
-//! A node accepts the connections that the load balancer sends to it, also those that come after SIGTERM.
+//! A node accepts the connections that the load balancer sends to it, including those that arrive after SIGTERM.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A node accepts the connections that the load balancer sends to it, until its process was killed.
+/// A node accepts the connections that the load balancer sends to it, until its process has ended.
 pub(super) struct RefusedConnection;
 
 impl Check for RefusedConnection {
--- a/crates/testbed/src/checker/rules/rejection_after_execution.rs
+++ b/crates/testbed/src/checker/rules/rejection_after_execution.rs
@@ -25,7 +25,11 @@
         let request = history.request(id).filter(|r| r.answered.is_none())?;
         let unsafe_to_repeat = history.repeat(request.class) == Repeat::Unsafe;
         if unsafe_to_repeat && request.may_have_run() {
-            return Some(Finding::of(observation, id, "refused what may have run"));
+            return Some(Finding::of(
+                observation,
+                id,
+                "rejected although an attempt may have run",
+            ));
         }
         None
     }
--- a/crates/testbed/src/checker/rules/rejects_everything.rs
+++ b/crates/testbed/src/checker/rules/rejects_everything.rs
@@ -9,16 +9,17 @@
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// For so long, and
+/// A node counts as rejecting everything after this time of rejections only, with at least [`MIN_REJECTED`] of them.
 const MAX_REJECTING_TIME: Micros = 4_000_000;
-/// of so many requests at least.
+/// Least number of rejected requests for a node to count as rejecting everything.
 const MIN_REJECTED: u32 = 15;
-/// One node in so many may.
+/// One in this many nodes may reject everything.
 const NODES_PER_REJECTING_NODE: usize = 10;
 
 /// Rejections of a node since its last attempt.
 #[derive(Clone, Copy, Debug)]
 struct Streak {
+    /// Time of the first rejection.
     since: Micros,
     rejected: u32,
 }
@@ -26,8 +27,10 @@
 /// At most one node in ten rejects all that it gets for some seconds, with no attempt in between.
 #[derive(Default)]
 pub(super) struct RejectsEverything {
+    /// All nodes of the run.
     nodes: BTreeSet<usize>,
     streaks: BTreeMap<usize, Streak>,
+    /// Nodes that have rejected everything for long enough.
     rejecting: BTreeSet<usize>,
 }
 
@@ -72,9 +75,9 @@
             return None;
         }
         let why = format!(
-            "of {} nodes {:?} rejected all that they got for {} s",
-            self.nodes.len(),
+            "nodes {:?} of {} rejected all requests for {} s",
             self.rejecting,
+            self.nodes.len(),
             MAX_REJECTING_TIME / 1_000_000
         );
         Some(Finding {
--- a/crates/testbed/src/checker/rules/repeated_attempt.rs
+++ b/crates/testbed/src/checker/rules/repeated_attempt.rs
@@ -1,4 +1,4 @@
-//! A request is attempted again only as its class allows once it may have run.
+//! Once an attempt of a request may have run, the request is attempted again only as its class allows.
 
 use crate::checker::history::{Attempt, History};
 use crate::checker::observations::{AttemptOutcome, Event, Observation};
@@ -6,7 +6,7 @@
 use crate::checker::{Check, Finding};
 use crate::requirements::Repeat;
 
-/// A request is attempted again only as its class allows once it may have run.
+/// Once an attempt of a request may have run, the request is attempted again only as its class allows.
 pub(super) struct RepeatedAttempt;
 
 impl Check for RepeatedAttempt {
@@ -24,12 +24,12 @@
         let sent = first_byte - history.requirements.network_delay;
         match history.repeat(request.class) {
             Repeat::Unsafe => {
-                let why = "another attempt of what may have run and may not be repeated";
+                let why = "another attempt of a request that may have run and may not be repeated";
                 Some(Finding::of(observation, id, why))
             }
             Repeat::Keyed(window) if sent - first > window => {
                 let since = (observation.at - first) / 1000;
-                let why = format!("sent again {since} ms after it may first have run");
+                let why = format!("attempted again {since} ms after it may first have run");
                 Some(Finding::of(observation, id, why))
             }
             _ => None,
--- a/crates/testbed/src/checker/rules/repeated_effect.rs
+++ b/crates/testbed/src/checker/rules/repeated_effect.rs
@@ -1,11 +1,11 @@
-//! A request takes effect once at most.
+//! A request takes effect at most once.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A request takes effect once at most.
+/// A request takes effect at most once.
 pub(super) struct RepeatedEffect;
 
 impl Check for RepeatedEffect {
--- a/crates/testbed/src/checker/rules/resent_after_forwarding.rs
+++ b/crates/testbed/src/checker/rules/resent_after_forwarding.rs
@@ -1,11 +1,11 @@
-//! A node that closed a connection without an answer had not forwarded the request on it.
+//! A node does not close a connection without an answer after it has forwarded the request on it.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A node that closed a connection without an answer had not forwarded the request on it.
+/// A node does not close a connection without an answer after it has forwarded the request on it.
 pub(super) struct ResentAfterForwarding;
 
 impl Check for ResentAfterForwarding {
@@ -22,7 +22,8 @@
         if request.attempts.is_empty() || request.excused || history.has_ended(node) {
             return None;
         }
-        let why = format!("node {node} sent it on and then closed its connection with no answer");
+        let why =
+            format!("node {node} forwarded it and then closed its connection without an answer");
         Some(Finding::of(observation, id, why))
     }
 }
--- a/crates/testbed/src/checker/rules/slow_restart.rs
+++ b/crates/testbed/src/checker/rules/slow_restart.rs
@@ -1,4 +1,4 @@
-//! Nine in ten restarted processes become ready in time.
+//! At least nine in ten restarted processes become ready in time.
 
 use sloewick_decision::api::Micros;
 
@@ -7,24 +7,25 @@
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A restarted process is ready within this time.
+/// Longest time from the start of a restarted process until it is ready.
 const MAX_READY_TIME: Micros = 10_000_000;
-/// The limit for a process that was observed for less than [`MAX_READY_TIME`].
+/// The same for a process that was observed for less than [`MAX_READY_TIME`].
 const MAX_READY_TIME_CUT_SHORT: Micros = 6_000_000;
 
-/// A process that follows another one of its node.
+/// A process of a node that is not the node's first one.
 #[derive(Debug)]
 struct Restart {
     node: usize,
+    /// When it started.
     at: Micros,
-    /// How long it took to answer PING.
+    /// Time from its start until it answered PING; None until then.
     ready_after: Option<Micros>,
-    /// How long it was observed; none as long as it is.
+    /// Time for which it was observed; None while it still is.
     observed_for: Option<Micros>,
 }
 
 impl Restart {
-    /// Whether it was late; none if it was not observed long enough to tell.
+    /// Whether it became ready too late; None if it was not observed for long enough to tell.
     fn is_late(&self, now: Micros) -> Option<bool> {
         let observed_for = self.observed_for.unwrap_or(now - self.at);
         let limit = if observed_for >= MAX_READY_TIME {
@@ -44,7 +45,7 @@
 }
 
 impl SlowRestart {
-    /// A node's process is not observed any more: it ends, is stopped or begins anew.
+    /// Ends the observation of a node's process, which ends, is suspended or is started again.
     fn observed_until(&mut self, node: usize, at: Micros) {
         if let Some(restart) = self.restarts.iter_mut().rfind(|r| r.node == node) {
             restart.observed_for.get_or_insert(at - restart.at);
@@ -105,9 +106,9 @@
             return None;
         }
         let why = format!(
-            "of {} restarted processes {} were not ready within {} s: of nodes {late:?}",
-            known.len(),
+            "{} of {} restarted processes were not ready within {} s: of nodes {late:?}",
             late.len(),
+            known.len(),
             MAX_READY_TIME / 1_000_000
         );
         Some(Finding {
--- a/crates/testbed/src/checker/rules/unanswered_request.rs
+++ b/crates/testbed/src/checker/rules/unanswered_request.rs
@@ -1,4 +1,4 @@
-//! Each request gets its final answer within the time that its client waits.
+//! Each request receives its final answer within the time for which its client waits.
 
 use std::collections::BTreeMap;
 
@@ -41,6 +41,7 @@
     }
 }
 
+/// A finding if a request whose answer was due at this time has none.
 fn unanswered(at: Micros, id: Id, history: &History) -> Option<Finding> {
     let request = history.request(&id)?;
     if request.answered.is_some() || request.disconnected.is_some() || request.excused {
--- a/crates/testbed/src/checker/rules/unrequested_attempt.rs
+++ b/crates/testbed/src/checker/rules/unrequested_attempt.rs
@@ -23,7 +23,7 @@
         Some(Finding::of(
             observation,
             id,
-            "sent on, and nobody asked for it",
+            "an attempt of a request that no client sent",
         ))
     }
 }
--- a/crates/testbed/src/checker/rules/unrequested_bytes.rs
+++ b/crates/testbed/src/checker/rules/unrequested_bytes.rs
@@ -1,11 +1,11 @@
-//! A node sends clients nothing but answers.
+//! A node sends clients only answers to their requests.
 
 use crate::checker::history::History;
 use crate::checker::observations::{Event, Observation};
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// A node sends clients nothing but answers.
+/// A node sends clients only answers to their requests.
 pub(super) struct UnrequestedBytes;
 
 impl Check for UnrequestedBytes {
@@ -17,7 +17,7 @@
         let Event::UnsolicitedBytes { node, bytes } = &observation.event else {
             return None;
         };
-        let why = format!("node {node} answered what nobody asked: {bytes}");
+        let why = format!("node {node} sent bytes that answer no request: {bytes}");
         Some(Finding::without_request(observation, why))
     }
 }
--- a/crates/testbed/src/checker/rules/unrequested_effect.rs
+++ b/crates/testbed/src/checker/rules/unrequested_effect.rs
@@ -23,7 +23,7 @@
         Some(Finding::of(
             observation,
             id,
-            "an effect that nobody asked for",
+            "an effect of a request that no client sent",
         ))
     }
 }
--- a/crates/testbed/src/checker/rules/wrong_protocol.rs
+++ b/crates/testbed/src/checker/rules/wrong_protocol.rs
@@ -1,4 +1,4 @@
-//! A server is not spoken to in a protocol that it does not speak once all nodes know who has its address.
+//! No node uses a protocol that a server does not serve, once all nodes have been notified which server has the address.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,30 +9,35 @@
 use crate::checker::violation::Rule;
 use crate::checker::{Check, Finding};
 
-/// Which nodes run, and which servers were announced wrongly.
+/// Which nodes run, and which servers were announced again after their end.
 #[derive(Default)]
 pub(super) struct WrongProtocol {
     running_nodes: BTreeSet<usize>,
     ended_servers: BTreeSet<usize>,
-    /// Servers that were announced as started after their end, and when their end was announced last.
+    /// Servers that were announced as started after their end, with the time of the last announcement that they are
+    /// draining or removed; None if there was none since.
     announced_after_end: BTreeMap<usize, Option<Micros>>,
 }
 
 impl WrongProtocol {
-    fn spoken_to(&self, at: Micros, server: usize, history: &History) -> Option<String> {
+    /// Describes the use of a protocol that a server does not serve; None if nodes could not know better.
+    fn describe_misuse(&self, at: Micros, server: usize, history: &History) -> Option<String> {
         let limits = &history.requirements;
         let is_late = |since: Micros| at - since > limits.grace + 2 * limits.network_delay;
-        // A server that is no more may be listed at some address as started later.
-        let misled = self
+        // The list may name an ended server at the address of this one, as the one that started later.
+        let is_misannounced = self
             .announced_after_end
             .values()
-            .any(|over| over.is_none_or(|over| !is_late(over)));
-        let all_know = self.running_nodes.iter().all(|node| {
+            .any(|end| end.is_none_or(|end| !is_late(end)));
+        let all_notified = self.running_nodes.iter().all(|node| {
             let since = history.knowledge.start_announced(*node, server);
             since.is_some_and(is_late)
         });
-        (!misled && all_know).then(|| {
-            format!("box {server} was spoken to in the other protocol, and all nodes knew it")
+        (!is_misannounced && all_notified).then(|| {
+            format!(
+                "cache server {server} received another protocol than its own, although all nodes had been notified of \
+                 its start"
+            )
         })
     }
 }
@@ -60,12 +65,12 @@
                 self.announced_after_end.insert(*server, None);
             }
             Event::AnnouncementSent { server, .. } => {
-                if let Some(over) = self.announced_after_end.get_mut(server) {
-                    *over = Some(at);
+                if let Some(end) = self.announced_after_end.get_mut(server) {
+                    *end = Some(at);
                 }
             }
             Event::WrongProtocol { server } => {
-                let why = self.spoken_to(at, *server, history)?;
+                let why = self.describe_misuse(at, *server, history)?;
                 return Some(Finding::without_request(observation, why));
             }
             _ => {}
--- a/crates/testbed/src/checker/violation.rs
+++ b/crates/testbed/src/checker/violation.rs
@@ -6,7 +6,7 @@
 
 use crate::checker::observations::{Id, Observation};
 
-/// A rule that nodes have to keep.
+/// A rule that nodes must not violate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// Each request gets exactly one final answer, in time and made for this request. Nothing is sent to a server for
@@ -38,15 +38,15 @@
 /// One violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// The rule that was not kept.
+    /// The rule that was violated.
     pub rule: Rule,
-    /// When, in microseconds since the run began.
+    /// Time of the violation, in microseconds since the run began.
     pub at: Micros,
-    /// The request concerned, if it is about one.
+    /// The request concerned; None if the violation concerns no single request.
     pub id: Option<Id>,
-    /// What happened, for people.
+    /// Description of the violation.
     pub why: String,
-    /// Observations of the same request, oldest first.
+    /// Observations of the request concerned, oldest first.
     pub around: Vec<Observation>,
 }
 
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -1,9 +1,9 @@
-//! Commands to an emulator, from another thread or from the run that owns it.
+//! Queues of commands to the emulators, from another thread or from the run that owns them.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// A queue of commands that an emulator takes up at its next step.
+/// A queue of commands that an emulator executes at its next step.
 #[derive(Debug)]
 pub struct CommandQueue<T>(Arc<Mutex<VecDeque<T>>>);
 
@@ -20,7 +20,7 @@
 }
 
 impl<T> CommandQueue<T> {
-    /// Adds a command.
+    /// Appends a command.
     pub fn push(&self, command: T) {
         self.0
             .lock()
@@ -28,7 +28,7 @@
             .push_back(command);
     }
 
-    /// Takes the oldest command.
+    /// Removes and returns the oldest command; None if there is none.
     pub fn pop(&self) -> Option<T> {
         self.0
             .lock()
--- a/crates/testbed/src/protocol_options.rs
+++ b/crates/testbed/src/protocol_options.rs
@@ -3,16 +3,16 @@
 /// Key prefix of each class, in the order of the site's classes, for clients whose requests are classified by key.
 pub const KEY_PREFIXES: [&str; 3] = ["logger", "alarm", "ack"];
 
-/// What clients speak.
+/// Protocols of the emulated clients.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Clients {
-    /// RESP2, and what a request is stands in its fields.
+    /// RESP2; fields of the request name its class and tenant.
     #[default]
     Resp,
-    /// RESP2, and what a request is follows from its key, as for the binary protocol.
+    /// RESP2; class and tenant follow from the key, as for the memcached binary protocol.
     RespByKey,
     /// The memcached binary protocol.
     Memcached,
-    /// The two before, in turn.
+    /// `RespByKey` and `Memcached`, alternating between requests.
     Both,
 }
--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -1,4 +1,4 @@
-//! Service by class, outcomes, origin load and latencies, from the same facts.
+//! Service by class, outcomes, origin load and latencies, computed from the observations that the checker also receives.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fmt::Write;
@@ -7,7 +7,7 @@
 
 use crate::checker::observations::{Answer, Event, Id, Observation};
 
-/// A class as the report weighs it.
+/// Name, latency objective and priority weight of a class.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
@@ -15,11 +15,12 @@
     pub priority_weight: f64,
 }
 
-/// What one span of time brought.
+/// Counts and latencies of one span of time.
 #[derive(Clone, Debug, Default)]
 pub struct Span {
-    /// By class: asked (first tries), and those answered within the aim.
+    /// By class: first requests, without retries and without those whose client disconnected.
     pub requested: Vec<u64>,
+    /// By class: those of `requested` that were served, by themselves or by a retry, within the latency objective.
     pub in_time: Vec<u64>,
     pub served: u64,
     pub busy: u64,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Time to a served answer below which this part of them stays, in microseconds; 0 for none.
+    /// This quantile of the latencies of served requests, in microseconds; 0 if none was served.
     pub fn quantile(&mut self, fraction: f64) -> Micros {
         self.latencies.sort_unstable();
         let at = (self.latencies.len() as f64 * fraction) as usize;
@@ -54,7 +55,8 @@
             .unwrap_or(0)
     }
 
-    /// Worth answered within the aim over worth asked for; 1 when nothing was asked.
+    /// Sum of the priority weights of the first requests that were served within their latency objective, as a fraction
+    /// of the sum over all first requests; 1 if there were none.
     pub fn service(&self, classes: &[Class]) -> f64 {
         let sum = |counts: &[u64]| -> f64 {
             counts
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The part of a class's first tries that was answered within the aim.
+    /// Fraction of a class's first requests that were served within the latency objective; 1 if there were none.
     pub fn class_service(&self, class: usize) -> f64 {
         if self.requested[class] == 0 {
             1.0
@@ -100,24 +102,27 @@
     }
 }
 
-/// How long a try is remembered: longer than any client waits for all of its tries.
-const REMEMBERED: Micros = 20_000_000;
+/// How long a request is stored: longer than any client waits for a request and its retries.
+const REQUEST_RETENTION: Micros = 20_000_000;
 
+/// A request without an answer.
 struct Open {
     first: Id,
+    /// When it was sent.
     requested: Micros,
     class: usize,
 }
 
-/// Counts by seconds of the run.
+/// Statistics of a run, by second.
 pub struct Report {
     pub classes: Vec<Class>,
-    /// By second in which the first try was asked.
+    /// By second of the run. First requests, those in time and those given up by a disconnection count in the second in
+    /// which they were sent, everything else in that in which it occurred.
     pub seconds: BTreeMap<i64, Span>,
     open: HashMap<Id, Open>,
-    /// When each first try was asked, and whether it has been answered in time.
+    /// By first request: when it was sent, its class, and whether it has been served in time.
     firsts: HashMap<Id, (Micros, usize, bool)>,
-    /// Tries in the order in which they were asked, to be forgotten.
+    /// Requests in the order in which they were sent, for their removal.
     requested: VecDeque<(Micros, Id)>,
 }
 
@@ -139,7 +144,7 @@
             .or_insert_with(|| Span::new(classes))
     }
 
-    /// Takes up an observation; they come in the order of their times.
+    /// Adds an observation. Observations have to be passed in the order of their times.
     pub fn observe(&mut self, observation: &Observation) {
         let at = observation.at;
         self.forget_old_requests(at);
@@ -149,7 +154,7 @@
             } => self.requested(at, id, *class, first),
             Event::Answered { id, answer } => self.answered(at, id, answer),
             Event::ClientDisconnected { id } => {
-                // A client that disconnects does not wait, and does not count as asked.
+                // A client that disconnects no longer waits for an answer, so its request is not counted.
                 if let Some(open) = self.open.remove(id).filter(|o| o.first == *id) {
                     let span = self.second(open.requested);
                     span.requested[open.class] -= 1;
@@ -166,7 +171,7 @@
     }
 
     fn forget_old_requests(&mut self, now: Micros) {
-        let old = |(requested, _): &(Micros, Id)| now - requested > REMEMBERED;
+        let old = |(requested, _): &(Micros, Id)| now - requested > REQUEST_RETENTION;
         while self.requested.front().is_some_and(old) {
             if let Some((_, id)) = self.requested.pop_front() {
                 self.open.remove(&id);
@@ -211,7 +216,8 @@
         }
     }
 
-    /// The first answer with a value to a request or a retry of it; in time if that is within the class's objective.
+    /// Counts a first request as in time if this is the first answer with a value to it or a retry of it, and if it arrived
+    /// within the latency objective of the class.
     fn served_first(&mut self, at: Micros, open: &Open) {
         let objective = self.classes[open.class].latency_objective;
         let Some((requested, class, done)) = self.firsts.get_mut(&open.first) else {
@@ -224,7 +230,7 @@
         }
     }
 
-    /// Everything between two times, in seconds.
+    /// The sum of the spans from one second (inclusive) to another (exclusive).
     pub fn between(&self, from: i64, to: i64) -> Span {
         let mut all = Span::new(self.classes.len());
         self.seconds
@@ -233,11 +239,12 @@
         all
     }
 
+    /// The sum of all spans.
     pub fn total(&self) -> Span {
         self.between(i64::MIN, i64::MAX)
     }
 
-    /// The lowest service of ten seconds in a row.
+    /// The lowest service in ten consecutive seconds.
     pub fn worst_ten_seconds(&self) -> f64 {
         let last = self.seconds.keys().next_back().copied().unwrap_or(0);
         let spans = (0..=(last - 10).max(0))
@@ -245,7 +252,7 @@
         spans.fold(1.0, f64::min)
     }
 
-    /// A line for people.
+    /// A summary of a span of this length as one line of text.
     pub fn line(&self, span: &mut Span, seconds: f64) -> String {
         let mut out = String::new();
         let (p50, p99) = (span.quantile(0.5), span.quantile(0.99));
@@ -272,7 +279,7 @@
         out
     }
 
-    /// The same as JSON.
+    /// A summary of a span of this length as JSON.
     pub fn json(&self, span: &mut Span, seconds: f64) -> serde_json::Value {
         let classes: serde_json::Map<String, serde_json::Value> = self
             .classes
--- a/crates/testbed/src/requirements.rs
+++ b/crates/testbed/src/requirements.rs
@@ -1,10 +1,11 @@
-//! What the checker requires of a site: how requests may be repeated, time limits, and what a cold server bears.
+//! What the checker requires of the nodes of a site: how requests may be repeated, time limits, and the load that a cold
+//! server can process.
 //!
-//! These types hold no behaviour of a run. Emulators, checker and site all use them, and they use none of the three.
+//! These types contain no logic of a run. Emulators, checker and site depend on them, and they depend on none of the three.
 
 use sloewick_decision::api::Micros;
 
-/// Time within which a misbehaving client has to get an error or a closed connection.
+/// Time within which a node has to answer a misbehaving client with an error or close its connection.
 pub const MISBEHAVING_CLIENT_RESPONSE_LIMIT: Micros = 3_000_000;
 
 /// How a class of requests may be repeated.
@@ -12,54 +13,56 @@
 pub enum Repeat {
     /// Any number of times.
     Free,
-    /// Servers deduplicate by its idempotency key for this long.
+    /// Any number of times within this deduplication window, for which servers recognize its idempotency key.
     Keyed(Micros),
-    /// Not once it may have run.
+    /// Not after an attempt of it may have run.
     Unsafe,
 }
 
-/// What the settings of a site promise.
+/// Limits that follow from the settings of a site.
 #[derive(Clone, Debug)]
 pub struct Requirements {
-    /// By class.
+    /// How requests may be repeated, by class.
     pub classes: Vec<Repeat>,
-    /// How long after the client's deadline an answer still counts.
+    /// Time after the client's deadline until which an answer still counts as in time.
     pub slack: Micros,
-    /// Time after the announcement within which nodes may still send to a server that is draining or gone.
+    /// Time after the announcement within which nodes may still send to a server that is draining or removed.
     pub grace: Micros,
-    /// Longest delay of the network, one way.
+    /// Longest delay of the network in one direction.
     pub network_delay: Micros,
-    /// The time over which the work of a cold server is summed.
+    /// Time over which the work that a cold server receives is summed.
     pub overload_window: Micros,
-    /// What a cold server can take.
+    /// The load that a cold server can process.
     pub cold: ColdServerLimits,
 }
 
-/// What a server that is warming up can take.
+/// The load that a server can process during its slow start.
 #[derive(Clone, Debug)]
 pub struct ColdServerLimits {
-    /// Fraction of its capacity at its start.
+    /// Capacity at its start, as a fraction of its capacity when warm.
     pub initial_fraction: f64,
-    /// How long it warms up.
+    /// Time from its start until it is warm.
     pub warm_up_time: Micros,
-    /// It fails at so many times its capacity over the time that work is summed.
+    /// The server fails if the work of the overload window exceeds this multiple of its capacity.
     pub overload_multiple: f64,
-    /// Mean work of a request, by class.
+    /// Mean processing time of a request on a standard core, by class.
     pub mean_work: Vec<Micros>,
 }
 
 impl ColdServerLimits {
-    /// Requests of the least mean work that a box of this speed and age bears in the time to a fall, with what is put
-    /// down to chance.
-    pub(crate) fn borne(&self, speed: f64, age: Micros, fall: Micros) -> f64 {
-        let grown = (self.initial_fraction
+    /// Number of requests of the least mean work that a server of this speed and age can process within the window, with an
+    /// allowance of two standard deviations and two requests for chance.
+    pub(crate) fn capacity(&self, speed: f64, age: Micros, window: Micros) -> f64 {
+        let warm_fraction = (self.initial_fraction
             + (1.0 - self.initial_fraction) * age as f64 / self.warm_up_time.max(1) as f64)
             .min(1.0);
-        let budget = self.overload_multiple * speed * grown * fall as f64 / self.unit();
+        let budget =
+            self.overload_multiple * speed * warm_fraction * window as f64 / self.least_work();
         budget + 2.0 * budget.sqrt() + 2.0
     }
 
-    pub(crate) fn unit(&self) -> f64 {
+    /// The least mean work of all classes, in microseconds.
+    pub(crate) fn least_work(&self) -> f64 {
         self.mean_work.iter().copied().min().unwrap_or(1).max(1) as f64
     }
 }
--- a/crates/testbed/src/rng.rs
+++ b/crates/testbed/src/rng.rs
@@ -1,16 +1,17 @@
-//! The random generator of a run. It is part of what a seed means, and therefore fixed here and independent of libraries.
+//! The random generator of a run. A seed has to give the same run in all versions, so the generator is defined here and
+//! depends on no library.
 
-/// splitmix64 (Steele, Lea, Flood 2014), one stream for each thing that draws.
+/// splitmix64 (Steele, Lea, Flood 2014). Each component that draws random numbers has a stream of its own.
 #[derive(Clone, Debug)]
 pub struct Rng(u64);
 
 impl Rng {
-    /// A stream that begins with this state.
+    /// Creates a stream with this initial state.
     pub fn new(seed: u64) -> Rng {
         Rng(seed)
     }
 
-    /// An independent stream for a named part: draws of one part do not change those of another.
+    /// Creates the independent stream of a named and numbered component; draws from it do not change other streams.
     pub fn stream(seed: u64, name: &str, number: usize) -> Rng {
         let mut rng = Rng(seed ^ 0x9e37_79b9_7f4a_7c15u64.wrapping_mul(number as u64 + 1));
         for byte in name.bytes() {
@@ -29,12 +30,12 @@
         h ^ (h >> 31)
     }
 
-    /// From 0 to under 1.
+    /// Uniform from 0 (inclusive) to 1 (exclusive).
     pub fn unit_interval(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// From 0 to under `n`; 0 for 0.
+    /// Uniform from 0 (inclusive) to `n` (exclusive); 0 if `n` is 0.
     pub fn below(&mut self, n: usize) -> usize {
         if n == 0 {
             0
@@ -43,22 +44,22 @@
         }
     }
 
-    /// Uniform from `low` to under `high`.
+    /// Uniform from `low` (inclusive) to `high` (exclusive).
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
         low + (high - low) * self.unit_interval()
     }
 
-    /// Whether an event of this probability happens; draws nothing for 0.
-    pub fn chance(&mut self, p: f64) -> bool {
-        p > 0.0 && self.unit_interval() < p
+    /// Returns true with this probability; draws nothing if it is 0.
+    pub fn chance(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.unit_interval() < probability
     }
 
-    /// Exponential with this mean.
+    /// Exponentially distributed with this mean.
     pub fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.unit_interval()).ln()
     }
 
-    /// One of a list, or none if it is empty.
+    /// A random element of a list; None if it is empty.
     pub fn pick<'a, T>(&mut self, list: &'a [T]) -> Option<&'a T> {
         let at = self.below(list.len());
         list.get(at)
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -1,5 +1,5 @@
-//! The stand-in site: the figures of its classes, boxes, origin and rules, and the configuration that its
-//! nodes are given.
+//! The emulated site: settings of its classes, cache servers, origin and clients, the requirements of the checker, and the
+//! configuration of its nodes.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -18,12 +18,13 @@
 pub const ZONES: [&str; 2] = ["ops-center", "eastside-plant"];
 pub const KINDS: [&str; 2] = ["std-box", "slow-box"];
 
-/// The same boxes when they speak the memcached binary protocol.
+/// The kinds of cache servers that serve the memcached binary protocol, in the order of [`KINDS`].
 pub const KINDS_MEMCACHED: [&str; 2] = ["mc-std-box", "mc-slow-box"];
 
-/// A class: share of the requests, aim, deadline, worth, and how it may be repeated.
+/// A class of requests.
 pub struct Class {
     pub name: &'static str,
+    /// Fraction of all requests.
     pub share: f64,
     pub latency_objective: Micros,
     pub deadline: Micros,
@@ -32,7 +33,7 @@
     pub write: bool,
 }
 
-/// Readings, keyed settings, and acknowledgements that may not be repeated at all.
+/// Reads, writes with an idempotency key, and writes that may not be repeated at all.
 pub const CLASSES: [Class; 3] = [
     Class {
         name: "trace-read",
@@ -62,24 +63,25 @@
         write: true,
     },
 ];
+/// Tenants and their fractions of all requests.
 pub const TENANTS: [(&str, f64); 4] = [
     ("distribution", 0.37),
     ("leak-crew", 0.26),
     ("engineering", 0.21),
     ("customer-svc", 0.16),
 ];
-/// How long all boxes drop a keyed write's repeat.
+/// How long a repeated write with the same idempotency key is dropped, whichever cache server it arrives at.
 pub const DEDUPLICATION_WINDOW: Micros = 10_000_000;
 pub const MAX_DEADLINE: Micros = 2_000_000;
 const DRAIN_GRACE: Micros = 2_000_000;
 const ANSWER_SLACK: Micros = 8_000;
-/// On sockets each time limit is this much longer.
+/// Added to each time limit, for the delays of runs on sockets.
 const SOCKETS_SLACK: Micros = 50_000;
 pub const COLD_FROM: f64 = 0.13;
 pub const COLD: Micros = 24_000_000;
 pub const FALL: Micros = 2_000_000;
 pub const FALL_MULTIPLE: f64 = 2.5;
-/// Mean work of a request at a box.
+/// Mean processing time of a request at a cache server, on a standard core.
 const READ_WORK: Micros = 14_000;
 const WRITE_WORK: Micros = 26_000;
 const CONNECT_TIMEOUT: Micros = 75_000;
@@ -87,19 +89,19 @@
 pub const MEMORY_MB: usize = 64;
 pub const SOCKETS: usize = 512;
 
-/// What boxes speak.
+/// Protocols that the cache servers serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerProtocols {
     #[default]
     Resp,
     Memcached,
-    /// Every second one the binary protocol.
+    /// Servers with odd numbers serve the memcached binary protocol, the others RESP2.
     Mixed,
-    /// Those that are started later the binary protocol.
+    /// Servers that are started during the run serve the memcached binary protocol, the others RESP2.
     Later,
 }
 
-/// Who speaks what.
+/// Protocols of clients and cache servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProtocolOptions {
     pub clients: Clients,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// A box's model, as the list has it.
+    /// A server's kind of machine, as the endpoint list names it.
     pub fn model(self, number: usize, scenario: &Scenario) -> &'static str {
         let slow = usize::from(is_slow_kind(number));
         if self.server_uses_memcached(number, scenario) {
@@ -126,16 +128,17 @@
         }
     }
 
-    /// The file that a node needs for all this, where it needs one; `listen`: where it listens for the binary protocol.
+    /// The memcached configuration of a node; None if the node needs none. `listen` is the address of its listener for the
+    /// memcached binary protocol.
     pub fn file(self, listen: SocketAddr) -> Option<String> {
         let front = matches!(self.clients, Clients::Memcached | Clients::Both);
         (self != ProtocolOptions::default()).then(|| memcached_file(front.then_some(listen)))
     }
 
-    /// Gives a node's configuration the file that all this needs, where it needs one.
+    /// Adds the memcached configuration, if the node needs one, to a node's configuration.
     ///
     /// # Errors
-    /// Never with the site's own figures.
+    /// The memcached configuration is invalid; the one of this site never is.
     pub fn configure(self, config: &mut Config, listen: SocketAddr) -> Result<(), String> {
         let Some(file) = self.file(listen) else {
             return Ok(());
@@ -150,7 +153,7 @@
     }
 }
 
-/// The figures that the judge goes by; `way`: the longest way over the network.
+/// The requirements of the checker. `network_delay` is the longest delay of the network in one direction.
 pub fn requirements(network_delay: Micros) -> Requirements {
     Requirements {
         classes: CLASSES.iter().map(|c| c.repeat).collect(),
@@ -215,7 +218,7 @@
     })
 }
 
-/// A node's configuration, as its file holds it.
+/// A node's configuration file. `known` holds the revision and the entries of the endpoint list that it starts with.
 pub fn node_config(
     node: usize,
     scenario: &Scenario,
@@ -233,8 +236,8 @@
     .to_string()
 }
 
-/// The file that switches the memcached front (none: not listened for) and boxes on. A key's first part says what it
-/// is for, its second whose it is.
+/// The configuration file that enables the memcached frontend, unless `listen` is None, and the cache servers that serve
+/// memcached. The first component of a key selects the class, the second the tenant.
 pub fn memcached_file(listen: Option<SocketAddr>) -> String {
     let mut text = listen.map_or(String::new(), |at| format!("listen = \"{at}\"\n"));
     for (n, (tenant, _)) in TENANTS.iter().enumerate() {
@@ -262,7 +265,7 @@
     text
 }
 
-/// A box: the odd ones are of the slower kind.
+/// Settings of a cache server; see [`is_slow_kind`] for its speed.
 pub fn cache_server_settings(
     number: usize,
     at: SocketAddr,
@@ -299,11 +302,12 @@
     }
 }
 
+/// Whether a cache server is of the slower kind of machine: two in four consecutive numbers are.
 pub fn is_slow_kind(number: usize) -> bool {
     number % 4 >= 2
 }
 
-/// The origin: about two and a half times the fetches of a calm day.
+/// Settings of the origin, whose capacity is about two and a half times the fetches of the scenario's rate without faults.
 pub fn origin(at: SocketAddr, seed: u64, scenario: &Scenario) -> origin::Settings {
     let fetches = scenario.rate * 0.92 * 0.06 * 2.4 + scenario.rate * 0.08;
     origin::Settings {
@@ -317,7 +321,7 @@
     }
 }
 
-/// `memcached`: where the nodes listen for the binary protocol.
+/// Settings of the client pool. `memcached` holds the addresses of the nodes' listeners for the memcached binary protocol.
 pub fn clients(
     nodes: Vec<SocketAddr>,
     memcached: Vec<SocketAddr>,
--- a/crates/testbed/tests/defects.rs
+++ b/crates/testbed/tests/defects.rs
@@ -301,7 +301,7 @@
         "leaving heard late",
         &scenario,
         Rule::NoRequestLost,
-        "had left, the attempt number",
+        "disconnected: late attempt number",
         &|| options(200_000),
     );
 }
@@ -606,7 +606,7 @@
         "not asked again",
         &scenario,
         Rule::DrainRespected,
-        "counts as told",
+        "counts as notified",
         &options,
     );
 }
