--- a/crates/testbed/src/faults/kinds.rs
+++ b/crates/testbed/src/faults/kinds.rs
@@ -1,41 +1,41 @@
 //! The table of all kinds of fault: name, fields, and the function that begins it.
 //!
-//! A new kind is a row here and a function in the module of what it concerns.
+//! A new kind needs a row here and a function in the module of the component that it concerns.
 
 use super::environment::FaultEnvironment;
 use super::scenario::Fault;
 use super::schedule::FaultScheduler;
 use super::{clients, links, nodes, servers, services};
 
-/// A value of a fault: a number within bounds, or one of some words.
+/// Type of a fault's field: a number within bounds, or one of several words.
 #[derive(Clone, Copy, Debug)]
 pub enum FieldKind {
     /// A number within bounds.
     Number {
-        /// Lowest value.
+        /// Lowest allowed value.
         low: f64,
-        /// Highest value.
+        /// Highest allowed value.
         high: f64,
-        /// Default.
+        /// Value if the scenario does not set the field.
         default: f64,
-        /// Unit, for people.
+        /// Unit, as shown to users.
         unit: &'static str,
     },
     /// One of these words; the first is the default.
     Word(&'static [&'static str]),
 }
 
-/// A kind of fault: its name, what it does, what can be set.
+/// A kind of fault.
 pub struct FaultSpec {
-    /// Its name in scenarios.
+    /// Name in scenarios.
     pub name: &'static str,
-    /// What it does, for people.
+    /// Description for users.
     pub about: &'static str,
-    /// Its fields by name.
+    /// Names and types of its fields.
     pub fields: &'static [(&'static str, FieldKind)],
-    /// Whether it can be played on real sockets too, or only on the virtual network.
+    /// Whether it is supported on real sockets too, in addition to the virtual network.
     pub real: bool,
-    /// Begins it; its end is a task of the schedule.
+    /// Begins the fault and schedules its end.
     pub(super) begin: fn(&mut FaultScheduler, &Fault, &mut dyn FaultEnvironment),
 }
 
@@ -53,7 +53,7 @@
         low: 0.0,
         high: 1.0,
         default,
-        unit: "a part of one",
+        unit: "a fraction",
     }
 }
 
@@ -62,7 +62,7 @@
         low: 0.01,
         high: 100.0,
         default,
-        unit: "times",
+        unit: "a factor",
     }
 }
 
@@ -71,7 +71,7 @@
         low: 0.0,
         high: 200.0,
         default,
-        unit: "how many",
+        unit: "a number",
     }
 }
 
@@ -79,140 +79,140 @@
 pub const FAULTS: &[FaultSpec] = &[
     FaultSpec {
         name: "crash-boxes",
-        about: "cache boxes die; a cold successor under a new id comes later",
+        about: "cache servers crash; a cold successor with a new id starts later",
         fields: &[("count", count(1.0)), ("back", seconds(5.0))],
         real: true,
         begin: servers::crash,
     },
     FaultSpec {
         name: "vanish-boxes",
-        about: "machines fall silent; their connections stay open; the same box is back, cold, later",
+        about: "machines of cache servers lose all traffic; connections stay open; the server returns cold later",
         fields: &[("count", count(1.0)), ("back", seconds(8.0))],
         real: true,
         begin: servers::isolate,
     },
     FaultSpec {
         name: "reborn-boxes",
-        about: "cache boxes die and come back at once at the same address under a new id, cold",
+        about: "cache servers crash and restart at once at the same address, cold and with a new id",
         fields: &[("count", count(1.0))],
         real: true,
         begin: servers::restart_at_same_address,
     },
     FaultSpec {
         name: "lose-zone",
-        about: "all boxes of a zone fall silent; they are back, cold, later",
+        about: "all cache servers of a zone lose all traffic; they return cold later",
         fields: &[("back", seconds(6.0))],
         real: true,
         begin: servers::lose_zone,
     },
     FaultSpec {
         name: "bad-boxes",
-        about: "some boxes end a part of their attempts in an error after it has run",
+        about: "some cache servers answer a fraction of their attempts with an error after execution",
         fields: &[("count", count(1.0)), ("part", fraction(0.7)), ("for", seconds(10.0))],
         real: true,
         begin: servers::fail_attempts,
     },
     FaultSpec {
         name: "stall-boxes",
-        about: "cache boxes do nothing for a while; what waits there is done later",
+        about: "cache servers stall for a while; queued work is done later",
         fields: &[("count", count(1.0)), ("for", seconds(2.0))],
         real: true,
         begin: servers::stall,
     },
     FaultSpec {
         name: "slow-boxes",
-        about: "cache boxes work slower",
+        about: "cache servers work slower",
         fields: &[("count", count(2.0)), ("times", factor(6.0)), ("for", seconds(8.0))],
         real: true,
         begin: servers::slow_down,
     },
     FaultSpec {
         name: "spoil",
-        about: "a part of the answers can't be read",
+        about: "a fraction of the responses is corrupt",
         fields: &[("part", fraction(0.03)), ("for", seconds(10.0))],
         real: true,
         begin: servers::corrupt_responses,
     },
     FaultSpec {
         name: "surplus",
-        about: "a part of the answers brings more than belongs to it",
+        about: "a fraction of the responses is followed by surplus bytes",
         fields: &[("part", fraction(0.05)), ("for", seconds(10.0))],
         real: true,
         begin: servers::append_surplus_bytes,
     },
     FaultSpec {
         name: "errors",
-        about: "a part of the attempts ends in an error after it has run",
+        about: "a fraction of the attempts is answered with an error after execution",
         fields: &[("part", fraction(0.1)), ("for", seconds(10.0))],
         real: true,
         begin: servers::fail_attempts_everywhere,
     },
     FaultSpec {
         name: "deploy",
-        about: "a part of the fleet is replaced, some boxes at a time: drained, ended, succeeded cold",
+        about: "a fraction of the cache servers is replaced one by one: drained, ended, succeeded by a cold one",
         fields: &[("part", fraction(1.0)), ("over", seconds(24.0)), ("grace", seconds(4.0))],
         real: true,
         begin: servers::deploy,
     },
     FaultSpec {
         name: "relist",
-        about: "a box that has gone is named in the list again for a while",
+        about: "an ended cache server is in the endpoint list again for a while",
         fields: &[("for", seconds(3.0))],
         real: true,
         begin: servers::list_ended_server_again,
     },
     FaultSpec {
         name: "kill-nodes",
-        about: "a part of the nodes dies and comes back with its last list; the front notices late",
+        about: "a fraction of the nodes is killed and restarts with its last list; the load balancer notices late",
         fields: &[("part", fraction(0.49)), ("back", seconds(5.0)), ("notice", seconds(2.0))],
         real: true,
         begin: nodes::kill,
     },
     FaultSpec {
         name: "restart-nodes",
-        about: "nodes are stopped as planned, one after another, and started again",
+        about: "nodes are shut down gracefully, one after another, and started again",
         fields: &[("part", fraction(1.0)), ("over", seconds(10.0))],
         real: true,
         begin: nodes::restart,
     },
     FaultSpec {
         name: "pause-nodes",
-        about: "a part of the nodes is stopped where it stands (SIGSTOP) and goes on later, with what it believed",
+        about: "a fraction of the nodes is suspended (SIGSTOP) and resumed later, with its state from before",
         fields: &[("part", fraction(0.5)), ("for", seconds(3.0))],
         real: true,
         begin: nodes::pause,
     },
     FaultSpec {
         name: "slow-origin",
-        about: "the origin crawls",
+        about: "the origin works slower",
         fields: &[("times", factor(5.0)), ("for", seconds(12.0))],
         real: true,
         begin: services::slow_origin,
     },
     FaultSpec {
         name: "void",
-        about: "a part of all kept copies is void at once",
+        about: "a fraction of all cached values is invalidated at once",
         fields: &[("part", fraction(0.8))],
         real: true,
         begin: services::invalidate,
     },
     FaultSpec {
         name: "hot-keys",
-        about: "a few keys draw a part of all requests",
+        about: "a few keys receive a fraction of all requests",
         fields: &[("keys", count(1.0)), ("part", fraction(0.24)), ("for", seconds(15.0))],
         real: true,
         begin: clients::concentrate_keys,
     },
     FaultSpec {
         name: "load",
-        about: "so many times the usual rate",
+        about: "the request rate is multiplied by a factor",
         fields: &[("times", factor(1.5)), ("for", seconds(10.0))],
         real: true,
         begin: clients::increase_load,
     },
     FaultSpec {
         name: "discovery-down",
-        about: "discovery is down; connections to it break",
+        about: "discovery is down; its connections break",
         fields: &[("for", seconds(8.0))],
         real: true,
         begin: services::stop_discovery,
@@ -226,37 +226,37 @@
     },
     FaultSpec {
         name: "discovery-late",
-        about: "discovery's answers are held back",
+        about: "discovery answers late",
         fields: &[("by", seconds(2.0)), ("for", seconds(10.0))],
         real: true,
         begin: services::delay_discovery,
     },
     FaultSpec {
         name: "discovery-stale",
-        about: "discovery goes on telling the list as it stands now",
+        about: "discovery answers with a list that is no longer updated",
         fields: &[("for", seconds(8.0))],
         real: true,
         begin: services::freeze_discovery,
     },
     FaultSpec {
         name: "discovery-anew",
-        about: "discovery goes down and comes back counting its versions anew",
+        about: "discovery goes down and restarts with its revisions from the beginning",
         fields: &[("for", seconds(3.0))],
         real: true,
         begin: services::stop_discovery,
     },
     FaultSpec {
         name: "discovery-moves",
-        about: "the nodes' configuration names another discovery (SIGHUP); the old one retires after 1.5 s",
+        about: "the nodes' configuration is changed to another discovery address (SIGHUP); the old one closes after 1.5 s",
         fields: &[],
         real: true,
         begin: services::move_discovery,
     },
     FaultSpec {
         name: "rude",
-        about: "clients that send what can't be read, so many a second",
+        about: "misbehaving clients send malformed requests at a rate",
         fields: &[
-            ("rate", FieldKind::Number { low: 0.0, high: 1000.0, default: 20.0, unit: "a second" }),
+            ("rate", FieldKind::Number { low: 0.0, high: 1000.0, default: 20.0, unit: "per second" }),
             ("for", seconds(10.0)),
         ],
         real: true,
@@ -264,14 +264,14 @@
     },
     FaultSpec {
         name: "hang-ups",
-        about: "a part of the clients leaves early",
+        about: "a fraction of the clients disconnects before the answer",
         fields: &[("part", fraction(0.2)), ("for", seconds(10.0))],
         real: true,
         begin: clients::disconnect_early,
     },
     FaultSpec {
         name: "partition",
-        about: "the way between all nodes and some boxes is cut in one direction or both",
+        about: "the links between all nodes and some cache servers are cut in one direction or both",
         fields: &[
             ("count", count(3.0)),
             ("for", seconds(6.0)),
@@ -282,37 +282,37 @@
     },
     FaultSpec {
         name: "resets",
-        about: "each tenth of a second a part of the connections between nodes and boxes is reset",
+        about: "each tenth of a second a fraction of the connections between nodes and cache servers is reset",
         fields: &[("part", fraction(0.02)), ("for", seconds(8.0))],
         real: false,
         begin: links::reset_connections,
     },
     FaultSpec {
         name: "refuse-boxes",
-        about: "boxes refuse new connections and serve those they have",
+        about: "cache servers refuse new connections and serve the open ones",
         fields: &[("count", count(2.0)), ("for", seconds(6.0))],
         real: true,
         begin: links::refuse_connections,
     },
     FaultSpec {
         name: "partial",
-        about: "a part of all writes takes only some of its bytes, or none for a while",
+        about: "a fraction of all socket writes accepts only some bytes, or none for a while",
         fields: &[("part", fraction(0.3)), ("for", seconds(10.0))],
         real: false,
         begin: links::write_partially,
     },
     FaultSpec {
         name: "skew",
-        about: "a node dies and comes back with a clock that is off",
+        about: "a node is killed and restarts with a clock that is off",
         fields: &[("by", FieldKind::Number { low: -60.0, high: 60.0, default: 5.0, unit: "seconds" })],
         real: false,
         begin: nodes::skew_clock,
     },
     FaultSpec {
         name: "idle-clients",
-        about: "clients that asked once rest on their connections, and come back when they are ended",
+        about: "clients hold idle connections after one request, and reconnect when these are closed",
         fields: &[
-            ("count", FieldKind::Number { low: 0.0, high: 5000.0, default: 600.0, unit: "how many at each node" }),
+            ("count", FieldKind::Number { low: 0.0, high: 5000.0, default: 600.0, unit: "a number for each node" }),
             ("for", seconds(10.0)),
         ],
         real: false,
@@ -320,7 +320,7 @@
     },
 ];
 
-/// The first so many are those that a swarm mixes; one more would make another run of each seed.
+/// A swarm draws from this many faults at the beginning of [`FAULTS`]. Another number would change the run of each seed.
 pub(super) const SWARM_FAULT_COUNT: usize = FAULTS.len() - 1;
 
 /// The kind of fault of this name.
@@ -328,7 +328,7 @@
     FAULTS.iter().find(|s| s.name == name)
 }
 
-/// What a field takes, in words.
+/// Description of the values that a field allows, for users.
 pub fn allowed(kind: &FieldKind) -> String {
     match kind {
         FieldKind::Number {
@@ -336,9 +336,9 @@
             high,
             default,
             unit,
-        } => format!("{unit} from {low} to {high} (usually {default})"),
+        } => format!("{unit} from {low} to {high} (default {default})"),
         FieldKind::Word(words) => format!(
-            "{} (usually {})",
+            "{} (default {})",
             words.join(", "),
             words.first().unwrap_or(&"")
         ),
--- a/crates/testbed/src/faults/links.rs
+++ b/crates/testbed/src/faults/links.rs
@@ -6,20 +6,20 @@
 use super::scenario::Fault;
 use super::schedule::{micros, FaultScheduler};
 
-/// `partition`: the way between all nodes and some boxes is cut in one direction or both.
+/// `partition`: cuts the links between all nodes and some cache servers in one direction or both.
 pub(super) fn partition(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     let count = fault.number("count") as usize;
-    let way = fault.word("way");
+    let direction = fault.word("way");
     for number in scheduler.pick_servers(count) {
         for from_server in [true, false] {
-            if way == "both" || (way == "from-boxes") == from_server {
+            if direction == "both" || (direction == "from-boxes") == from_server {
                 environment.cut_link(number, from_server, true);
-                scheduler.after(lasts, move |_, environment| {
+                scheduler.after(duration, move |_, environment| {
                     environment.cut_link(number, from_server, false);
                 });
             }
@@ -27,51 +27,53 @@
     }
 }
 
-/// `resets`: each tenth of a second a part of the connections between nodes and boxes is reset.
+/// `resets`: resets a fraction of the connections between nodes and cache servers each tenth of a second.
 pub(super) fn reset_connections(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     reset(
         scheduler,
         fraction,
-        scheduler.now + micros(lasts),
+        scheduler.now + micros(duration),
         environment,
     );
 }
 
-/// `refuse-boxes`: boxes refuse new connections and serve those they have.
+/// `refuse-boxes`: makes cache servers refuse new connections and serve the open ones.
 pub(super) fn refuse_connections(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     let count = fault.number("count") as usize;
     for number in scheduler.pick_servers(count) {
         environment.set_refuses_connections(number, true);
-        scheduler.after(lasts, move |_, environment| {
+        scheduler.after(duration, move |_, environment| {
             environment.set_refuses_connections(number, false);
         });
     }
 }
 
-/// `partial`: a part of all writes takes only some of its bytes, or none for a while.
+/// `partial`: makes a fraction of all socket writes accept only some bytes, or none for a while.
 pub(super) fn write_partially(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     environment.set_partial_writes(fraction);
-    scheduler.after(lasts, |_, environment| environment.set_partial_writes(0.0));
+    scheduler.after(duration, |_, environment| {
+        environment.set_partial_writes(0.0);
+    });
 }
 
-/// Resets a fraction of the connections each tenth of a second.
+/// Resets a fraction of the connections now and each tenth of a second until this time.
 fn reset(
     scheduler: &mut FaultScheduler,
     fraction: f64,
--- a/crates/testbed/src/faults/mod.rs
+++ b/crates/testbed/src/faults/mod.rs
@@ -1,7 +1,8 @@
-//! Faults: a scenario lists them, and the schedule begins and ends each at its time.
+//! Faults: a scenario lists them, and the fault scheduler begins and ends each at its time.
 //!
-//! [`scenario`] holds what users write, `kinds` the table of all kinds of fault, [`schedule`] the scheduler and
-//! [`environment`] what it acts on. What each kind does stands in the modules of what it concerns.
+//! [`scenario`] defines the scenarios that users write, `kinds` has the table of all kinds of fault, [`schedule`] has the
+//! scheduler, and [`environment`] defines the interface to the fleet that it acts on. The functions that begin the faults
+//! are in one module for each component that they concern: servers, links, nodes, clients and services.
 
 mod clients;
 pub mod environment;
--- a/crates/testbed/src/faults/parse.rs
+++ b/crates/testbed/src/faults/parse.rs
@@ -1,4 +1,4 @@
-//! Reads scenarios from TOML. Reading does not stop at the first error; each error names its line and what is allowed.
+//! Parses scenarios from TOML. Parsing does not stop at the first error; each error names its line and the allowed values.
 
 use toml::de::{DeArray, DeTable, DeValue};
 use toml::Spanned;
@@ -6,7 +6,7 @@
 use super::kinds::{allowed, spec, FaultSpec, FieldKind, FAULTS};
 use super::scenario::{Fault, FieldValue, Scenario};
 
-/// The fields of a scenario and what each takes.
+/// Fields of a scenario and the values that each allows.
 const SCENARIO_FIELDS: &[(&str, &str)] = &[
     ("name", "text"),
     ("about", "text"),
@@ -17,23 +17,23 @@
     ("fault", "tables, [[fault]]"),
 ];
 
-/// Latest begin of a fault, in seconds.
+/// Latest begin of a fault, in seconds since the run began.
 const MAX_BEGIN_SECONDS: f64 = 3600.0;
 
-/// Something wrong with a scenario's text.
+/// An error in a scenario's text.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{line}: {why}")]
 pub struct ScenarioError {
     /// Line of the text, counted from 1.
     pub line: usize,
-    /// What is wrong, and what is allowed.
+    /// Description of the error, with the allowed values.
     pub why: String,
 }
 
-/// Reads a scenario.
+/// Parses a scenario.
 ///
 /// # Errors
-/// All that is wrong with it, each with its line.
+/// All errors in the text, each with its line.
 pub fn parse(text: &str) -> Result<Scenario, Vec<ScenarioError>> {
     let mut errors = Errors {
         text,
@@ -58,14 +58,14 @@
     Ok(scenario)
 }
 
-/// The errors found so far, and the text whose lines they name.
+/// Collects the errors of a text.
 struct Errors<'a> {
     text: &'a str,
     found: Vec<ScenarioError>,
 }
 
 impl Errors<'_> {
-    /// Adds an error at a position of the text, in bytes.
+    /// Adds an error at this byte offset of the text.
     fn add(&mut self, at: usize, why: String) {
         let before = &self.text[..at.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
@@ -77,7 +77,7 @@
     sloewick_toml_config::number(value.get_ref())
 }
 
-fn shown(value: &Spanned<DeValue<'_>>) -> String {
+fn display(value: &Spanned<DeValue<'_>>) -> String {
     sloewick_toml_config::display_value(value.get_ref())
 }
 
@@ -111,14 +111,14 @@
             continue;
         };
         if read_field(name, value, &mut scenario, errors).is_none() {
-            let why = format!("{name}: is {}; allowed: {allowed}", shown(value));
+            let why = format!("{name}: is {}; allowed: {allowed}", display(value));
             errors.add(at, why);
         }
     }
     scenario
 }
 
-/// Reads one field of a scenario; none if its value is not allowed.
+/// Reads one field of a scenario; None if its value is not allowed.
 fn read_field(
     name: &str,
     value: &Spanned<DeValue<'_>>,
@@ -138,8 +138,8 @@
     Some(())
 }
 
-fn read_faults(list: &DeArray<'_>, scenario: &mut Scenario, errors: &mut Errors<'_>) {
-    for item in list {
+fn read_faults(faults: &DeArray<'_>, scenario: &mut Scenario, errors: &mut Errors<'_>) {
+    for item in faults {
         let start = item.span().start;
         match item.get_ref().as_table() {
             Some(table) => scenario.faults.extend(read_fault(start, table, errors)),
@@ -159,7 +159,7 @@
     }
 }
 
-/// No fault begins after the scenario is over.
+/// Adds an error for each fault that begins after the end of the scenario.
 fn check_fault_times(table: &DeTable<'_>, seconds: f64, errors: &mut Errors<'_>) {
     if seconds <= 0.0 {
         return;
@@ -171,8 +171,8 @@
             continue;
         };
         if number(value).is_some_and(|at| at > seconds) {
-            let at = shown(value);
-            let why = format!("at is {at}; the scenario is over after {seconds} seconds");
+            let at = display(value);
+            let why = format!("at is {at}; the scenario ends after {seconds} seconds");
             errors.add(key.span().start, why);
         }
     }
@@ -195,7 +195,7 @@
         return None;
     };
     let Some(spec) = value.get_ref().as_str().and_then(spec) else {
-        let why = format!("unknown fault {}; allowed: {}", shown(value), names());
+        let why = format!("unknown fault {}; allowed: {}", display(value), names());
         errors.add(key.span().start, why);
         return None;
     };
@@ -218,7 +218,7 @@
     Some(fault)
 }
 
-/// When a fault begins; 0 where that is wrong.
+/// Begin of a fault in seconds; adds an error and returns 0 if it is missing or not allowed.
 fn read_begin(start: usize, table: &DeTable<'_>, spec: &FaultSpec, errors: &mut Errors<'_>) -> f64 {
     let name = spec.name;
     let Some((key, value)) = field(table, "at") else {
@@ -227,7 +227,7 @@
         return 0.0;
     };
     number_within(value, 0.0, MAX_BEGIN_SECONDS).unwrap_or_else(|| {
-        let at = shown(value);
+        let at = display(value);
         let why =
             format!("fault {name}: at is {at}; allowed: seconds from 0 to {MAX_BEGIN_SECONDS}");
         errors.add(key.span().start, why);
@@ -235,7 +235,7 @@
     })
 }
 
-/// Reads a field of a kind of fault; what is wrong with it otherwise.
+/// Reads a field of a fault; the error is a description of what is wrong with it.
 fn read_value(
     name: &str,
     value: &Spanned<DeValue<'_>>,
@@ -260,7 +260,7 @@
         }
     };
     read.map(|read| (*name, read)).ok_or_else(|| {
-        let (fault, is, allowed) = (spec.name, shown(value), allowed(kind));
+        let (fault, is, allowed) = (spec.name, display(value), allowed(kind));
         format!("fault {fault}: {name} is {is}; allowed: {allowed}")
     })
 }
--- a/crates/testbed/src/faults/scenario.rs
+++ b/crates/testbed/src/faults/scenario.rs
@@ -1,6 +1,6 @@
-//! Scenarios: a fleet, and its faults with their times and values.
+//! Scenarios: the size and load of a fleet, and its faults with their times and values.
 //!
-//! Scenarios are written as TOML; see [`parse`] and [`write()`].
+//! The text form of a scenario is TOML; see [`parse`] and [`write()`].
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 pub use super::parse::{parse, ScenarioError};
 pub use super::swarm::swarm;
 
-/// A value of a fault.
+/// Value of a fault's field.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldValue {
     /// A number within the bounds of its field.
@@ -17,19 +17,19 @@
     Word(&'static str),
 }
 
-/// One fault of a schedule.
+/// One fault of a scenario.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins, in seconds.
+    /// When it begins, in seconds since the run began.
     pub at: f64,
-    /// The kind of fault.
+    /// Name of its kind.
     pub name: &'static str,
-    /// Values by field; fields that are not named have their defaults.
+    /// Values by field name; fields that are not in it have their defaults.
     pub set: Vec<(&'static str, FieldValue)>,
 }
 
 impl Fault {
-    /// A fault with default values; none for an unknown name.
+    /// A fault with default values; None if there is no kind of this name.
     pub fn with_defaults(name: &str, at: f64) -> Option<Fault> {
         spec(name).map(|s| Fault {
             at,
@@ -38,7 +38,7 @@
         })
     }
 
-    /// A number of this fault, or its default; 0 for an unknown field.
+    /// Value of a number field, or its default; 0 if there is no such field.
     pub fn number(&self, field: &str) -> f64 {
         if let Some((_, FieldValue::Number(n))) = self.set.iter().find(|(name, _)| *name == field) {
             return *n;
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A word of this fault, or its default; empty for an unknown field.
+    /// Value of a word field, or its default; empty if there is no such field.
     pub fn word(&self, field: &str) -> &'static str {
         if let Some((_, FieldValue::Word(word))) = self.set.iter().find(|(name, _)| *name == field)
         {
@@ -64,26 +64,26 @@
     }
 }
 
-/// A fleet and what goes wrong.
+/// A fleet, its load and its faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// Name, as shown in results.
     pub name: String,
-    /// What it shows, for people.
+    /// Description for users.
     pub about: String,
-    /// How long clients send requests, in seconds.
+    /// Time for which clients send requests, in seconds.
     pub seconds: f64,
     /// Number of nodes.
     pub nodes: usize,
     /// Number of cache servers at the beginning.
     pub servers: usize,
-    /// Requests a second over all nodes.
+    /// Requests per second, over all nodes.
     pub rate: f64,
-    /// Its faults, by the time at which they begin.
+    /// Faults, in the order of the times at which they begin.
     pub faults: Vec<Fault>,
 }
 
-/// The scenarios that come with the testbed: name and TOML.
+/// Names and TOML texts of the scenarios that come with the testbed.
 pub const SHIPPED: &[(&str, &str)] = &[
     ("calm", include_str!("../../scenarios/calm.toml")),
     (
@@ -126,7 +126,7 @@
     ("restarts", include_str!("../../scenarios/restarts.toml")),
 ];
 
-/// A scenario as TOML, as [`parse`] reads it.
+/// The TOML text of a scenario, which [`parse`] reads.
 pub fn write(s: &Scenario) -> String {
     let mut out = String::new();
     // Writing to a string cannot fail.
--- a/crates/testbed/src/faults/schedule.rs
+++ b/crates/testbed/src/faults/schedule.rs
@@ -1,7 +1,7 @@
-//! The fault schedule: turns a scenario's faults into what happens when, and to whom.
+//! The fault scheduler: turns a scenario's faults into timed commands to the components of a fleet.
 //!
-//! It holds no sockets: what it decides is carried out by a [`FaultEnvironment`]. It owns the servers' and nodes' states
-//! as the schedule has them, and the tasks that are still to come.
+//! It holds no sockets: a [`FaultEnvironment`] executes its commands. It owns its own view of the servers' and nodes' states
+//! and the tasks that are not due yet.
 
 use std::collections::BTreeMap;
 
@@ -15,64 +15,66 @@
 use super::environment::FaultEnvironment;
 use super::scenario::{spec, Fault, Scenario};
 
-/// Bounds of the time until discovery notices what happened to a server, in seconds.
+/// Least and greatest time until discovery notices that a server changed, in seconds.
 pub(super) const NOTICE_DELAY: (f64, f64) = (1.5, 4.0);
 /// The same for a server that died without closing its connections.
 const SILENT_NOTICE_DELAY: (f64, f64) = (4.9, 9.0);
 
-/// A cache server as the schedule has it.
+/// State of a cache server in the scheduler's view.
 #[derive(Clone, Debug)]
 pub(super) struct Server {
-    /// Number of its address; a later server may get the same.
-    pub(super) place: usize,
+    /// Number of its address; a later server may have the same one.
+    pub(super) address: usize,
     pub(super) zone: usize,
     pub(super) alive: bool,
-    /// Drained or replaced: no fault picks it.
-    pub(super) leaving: bool,
-    /// As discovery has it.
+    /// Faults do not pick it, because it is being replaced or has ended.
+    pub(super) excluded: bool,
+    /// Its state in the endpoint list of discovery.
     pub(super) announced: AnnouncedState,
 }
 
 type Task = Box<dyn FnOnce(&mut FaultScheduler, &mut dyn FaultEnvironment)>;
 
-/// The schedule of one run.
+/// The fault scheduler of one run.
 pub struct FaultScheduler {
     pub(super) rng: Rng,
     scenario: Scenario,
     pub(super) servers: Vec<Server>,
-    places: usize,
+    /// Number of addresses that servers have used so far.
+    address_count: usize,
     pub(super) running_nodes: Vec<bool>,
-    /// By time and order of scheduling.
+    /// Tasks by the time at which they are due and their number in the order of scheduling.
     tasks: BTreeMap<(Micros, u64), Task>,
-    set: u64,
+    /// Number of tasks scheduled so far.
+    scheduled: u64,
     pub(super) now: Micros,
 }
 
-/// Seconds as microseconds.
+/// Converts seconds to microseconds.
 pub(super) fn micros(seconds: f64) -> Micros {
     (seconds * 1e6) as Micros
 }
 
 impl FaultScheduler {
-    /// The schedule of a scenario; all random choices follow from the seed.
+    /// Creates the scheduler of a scenario; all random choices follow from the seed.
     pub fn new(scenario: &Scenario, seed: u64) -> FaultScheduler {
         let mut scheduler = FaultScheduler {
-            // The stream's name is part of what a seed means.
+            // Another name of the stream would change the run of each seed.
             rng: Rng::stream(seed, "director", 0),
             scenario: scenario.clone(),
             servers: Vec::new(),
-            places: scenario.servers,
+            address_count: scenario.servers,
             running_nodes: vec![true; scenario.nodes],
             tasks: BTreeMap::new(),
-            set: 0,
+            scheduled: 0,
             now: 0,
         };
         for i in 0..scenario.servers {
             scheduler.servers.push(Server {
-                place: i,
+                address: i,
                 zone: i % 2,
                 alive: true,
-                leaving: false,
+                excluded: false,
                 announced: AnnouncedState::InService { boot: 0 },
             });
         }
@@ -87,20 +89,20 @@
 
     /// Starts the servers, discovery and nodes that the run begins with.
     pub fn start_all(&mut self, environment: &mut dyn FaultEnvironment) {
-        for (number, member) in self.servers.iter().enumerate() {
-            environment.start_server(number, member.place, member.zone, false);
+        for (number, server) in self.servers.iter().enumerate() {
+            environment.start_server(number, server.address, server.zone, false);
         }
         let list = self.list(environment);
         environment.start_discovery(list, false);
         (0..self.scenario.nodes).for_each(|node| environment.start_node(node));
     }
 
-    /// When the next task is due.
+    /// When the next task is due; None if there is none.
     pub fn next(&self) -> Option<Micros> {
         self.tasks.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Runs the tasks that are due.
+    /// Runs all tasks that are due at `now`.
     pub fn run(&mut self, now: Micros, environment: &mut dyn FaultEnvironment) {
         self.now = now;
         while self.next().is_some_and(|at| at <= now) {
@@ -110,15 +112,17 @@
         }
     }
 
+    /// Schedules a task at a time since the run began.
     pub(super) fn at(
         &mut self,
         at: Micros,
         task: impl FnOnce(&mut FaultScheduler, &mut dyn FaultEnvironment) + 'static,
     ) {
-        self.set += 1;
-        self.tasks.insert((at, self.set), Box::new(task));
+        self.scheduled += 1;
+        self.tasks.insert((at, self.scheduled), Box::new(task));
     }
 
+    /// Schedules a task after this many seconds.
     pub(super) fn after(
         &mut self,
         seconds: f64,
@@ -127,52 +131,54 @@
         self.at(self.now + micros(seconds), task);
     }
 
-    /// The endpoint list as discovery should have it.
+    /// The endpoint list that discovery should have.
     pub fn list(&self, environment: &dyn FaultEnvironment) -> Vec<Listed> {
-        let of = |(number, m): (usize, &Server)| {
-            environment.listed(number, m.place, m.zone, m.announced)
+        let entry_of = |(number, server): (usize, &Server)| {
+            environment.listed(number, server.address, server.zone, server.announced)
         };
         self.servers
             .iter()
             .enumerate()
-            .map(of)
-            .filter(|l| l.state != AnnouncedState::Removed)
+            .map(entry_of)
+            .filter(|entry| entry.state != AnnouncedState::Removed)
             .collect()
     }
 
+    /// Changes a server's state in the endpoint list.
     pub(super) fn announce(
         &mut self,
         number: usize,
         state: AnnouncedState,
         environment: &mut dyn FaultEnvironment,
     ) {
-        let m = &mut self.servers[number];
-        m.announced = state;
-        let listed = environment.listed(number, m.place, m.zone, state);
+        let server = &mut self.servers[number];
+        server.announced = state;
+        let listed = environment.listed(number, server.address, server.zone, state);
         environment.command_discovery(discovery::ControlCommand::Change(listed));
     }
 
+    /// Changes a server's state in the endpoint list after a random delay within these bounds, in seconds.
     pub(super) fn announce_later(
         &mut self,
         number: usize,
         state: AnnouncedState,
-        notice: (f64, f64),
+        notice_delay: (f64, f64),
     ) {
-        let after = self.rng.between(notice.0, notice.1);
+        let after = self.rng.between(notice_delay.0, notice_delay.1);
         self.after(after, move |scheduler, environment| {
-            // A server that ended meanwhile is not announced any more.
+            // A server that has ended meanwhile is announced only as removed.
             if state == AnnouncedState::Removed || scheduler.servers[number].alive {
                 scheduler.announce(number, state, environment);
             }
         });
     }
 
-    /// Picks running servers at random.
+    /// Picks up to `count` running servers at random.
     pub(super) fn pick_servers(&mut self, count: usize) -> Vec<usize> {
         let mut candidates: Vec<usize> = (0..self.servers.len())
-            .filter(|i| self.servers[*i].alive && !self.servers[*i].leaving)
+            .filter(|i| self.servers[*i].alive && !self.servers[*i].excluded)
             .collect();
-        // At least one server always remains.
+        // At least one server remains unaffected.
         let limit = candidates.len().saturating_sub(1).min(count);
         let mut picked = Vec::new();
         for _ in 0..limit {
@@ -181,56 +187,57 @@
         picked
     }
 
-    /// Starts a new cold server, which discovery notices a little later.
+    /// Starts a new cold server, which discovery notices after a delay. None as address means a new one.
     pub(super) fn start_successor(
         &mut self,
-        place: Option<usize>,
+        address: Option<usize>,
         zone: usize,
         environment: &mut dyn FaultEnvironment,
     ) {
-        let place = place.unwrap_or_else(|| {
-            self.places += 1;
-            self.places - 1
+        let address = address.unwrap_or_else(|| {
+            self.address_count += 1;
+            self.address_count - 1
         });
         let number = self.servers.len();
         let boot = self.now;
         self.servers.push(Server {
-            place,
+            address,
             zone,
             alive: true,
-            leaving: false,
+            excluded: false,
             announced: AnnouncedState::Removed,
         });
-        environment.start_server(number, place, zone, true);
+        environment.start_server(number, address, zone, true);
         self.announce_later(number, AnnouncedState::InService { boot }, NOTICE_DELAY);
     }
 
-    /// Kills a server; discovery notices late.
+    /// Kills a server, which discovery notices after a delay.
     pub(super) fn crash(&mut self, number: usize, environment: &mut dyn FaultEnvironment) {
         self.servers[number].alive = false;
-        self.servers[number].leaving = true;
+        self.servers[number].excluded = true;
         environment.kill_server(number);
         self.announce_later(number, AnnouncedState::Removed, SILENT_NOTICE_DELAY);
     }
 
-    /// Isolates a machine. When it is back, its connections are reset, and a server starts cold at the same address.
+    /// Isolates a server's machine. After the restart delay, in seconds, its connections are reset, and a cold server starts
+    /// at the same address.
     pub(super) fn isolate(
         &mut self,
         number: usize,
-        back: f64,
+        restart_delay: f64,
         environment: &mut dyn FaultEnvironment,
     ) {
         environment.isolate_server(number);
-        self.servers[number].leaving = true;
+        self.servers[number].excluded = true;
         self.servers[number].alive = false;
         self.announce_later(number, AnnouncedState::Removed, SILENT_NOTICE_DELAY);
-        self.after(back, move |scheduler, environment| {
-            let (place, zone) = (
-                scheduler.servers[number].place,
+        self.after(restart_delay, move |scheduler, environment| {
+            let (address, zone) = (
+                scheduler.servers[number].address,
                 scheduler.servers[number].zone,
             );
             environment.kill_server(number);
-            scheduler.start_successor(Some(place), zone, environment);
+            scheduler.start_successor(Some(address), zone, environment);
         });
     }
 
@@ -242,15 +249,15 @@
         }
     }
 
-    /// Picks a fraction of the nodes among the running ones, so that at least one keeps running.
-    pub(super) fn pick_all_but_one(&mut self, fraction: f64) -> Vec<usize> {
+    /// Picks at most this fraction of all nodes among the running ones, and leaves at least one running.
+    pub(super) fn pick_nodes_leaving_one(&mut self, fraction: f64) -> Vec<usize> {
         let mut picked = self.pick_running_nodes(fraction);
         let up = self.running_nodes.iter().filter(|up| **up).count();
         picked.truncate(up.saturating_sub(1));
         picked
     }
 
-    /// Picks a fraction of the nodes among the running ones.
+    /// Picks at most this fraction of all nodes among the running ones.
     pub(super) fn pick_running_nodes(&mut self, fraction: f64) -> Vec<usize> {
         let mut up: Vec<usize> = (0..self.running_nodes.len())
             .filter(|n| self.running_nodes[*n])
@@ -261,6 +268,7 @@
             .collect()
     }
 
+    /// Starts a node that does not run, and has the load balancer send to it once it is ready.
     pub(super) fn start_node(&mut self, node: usize, environment: &mut dyn FaultEnvironment) {
         if !std::mem::replace(&mut self.running_nodes[node], true) {
             environment.start_node(node);
--- a/crates/testbed/src/faults/servers.rs
+++ b/crates/testbed/src/faults/servers.rs
@@ -7,24 +7,24 @@
 use super::scenario::Fault;
 use super::schedule::{micros, FaultScheduler, Server, NOTICE_DELAY};
 
-/// `crash-boxes`: cache boxes die; a cold successor under a new id comes later.
+/// `crash-boxes`: crashes cache servers; a cold successor with a new id starts later.
 pub(super) fn crash(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let count = fault.number("count") as usize;
-    let back = fault.number("back");
+    let restart_delay = fault.number("back");
     for number in scheduler.pick_servers(count) {
         let zone = scheduler.servers[number].zone;
         scheduler.crash(number, environment);
-        scheduler.after(back, move |scheduler, environment| {
+        scheduler.after(restart_delay, move |scheduler, environment| {
             scheduler.start_successor(None, zone, environment);
         });
     }
 }
 
-/// `reborn-boxes`: cache boxes die and come back at once at the same address under a new id, cold.
+/// `reborn-boxes`: crashes cache servers and restarts them at once at the same address, cold and with a new id.
 pub(super) fn restart_at_same_address(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
@@ -32,16 +32,16 @@
 ) {
     let count = fault.number("count") as usize;
     for number in scheduler.pick_servers(count) {
-        let (place, zone) = (
-            scheduler.servers[number].place,
+        let (address, zone) = (
+            scheduler.servers[number].address,
             scheduler.servers[number].zone,
         );
         scheduler.crash(number, environment);
-        scheduler.start_successor(Some(place), zone, environment);
+        scheduler.start_successor(Some(address), zone, environment);
     }
 }
 
-/// `vanish-boxes`: machines fall silent; their connections stay open; the same box is back, cold, later.
+/// `vanish-boxes`: stops all traffic of machines; their connections stay open; the server returns cold later.
 pub(super) fn isolate(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
@@ -53,14 +53,14 @@
     }
 }
 
-/// `lose-zone`: all boxes of a zone fall silent; they are back, cold, later.
+/// `lose-zone`: stops all traffic of the cache servers of a zone; they return cold later.
 pub(super) fn lose_zone(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let zone = scheduler.rng.below(2);
-    let in_zone = |m: &Server| m.zone == zone && m.alive && !m.leaving;
+    let in_zone = |server: &Server| server.zone == zone && server.alive && !server.excluded;
     let lost: Vec<usize> = (0..scheduler.servers.len())
         .filter(|i| in_zone(&scheduler.servers[*i]))
         .collect();
@@ -69,160 +69,163 @@
     }
 }
 
-/// `bad-boxes`: some boxes end a part of their attempts in an error after it has run.
+/// `bad-boxes`: makes some cache servers answer a fraction of their attempts with an error after execution.
 pub(super) fn fail_attempts(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     let count = fault.number("count") as usize;
     for number in scheduler.pick_servers(count) {
         environment.command_server(number, cache_server::ControlCommand::Errors(fraction));
-        scheduler.after(lasts, move |_, environment| {
+        scheduler.after(duration, move |_, environment| {
             environment.command_server(number, cache_server::ControlCommand::Errors(0.0));
         });
     }
 }
 
-/// `stall-boxes`: cache boxes do nothing for a while; what waits there is done later.
+/// `stall-boxes`: stalls cache servers for a while; they do their queued work later.
 pub(super) fn stall(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     let count = fault.number("count") as usize;
     for number in scheduler.pick_servers(count) {
-        environment.command_server(number, cache_server::ControlCommand::Stall(micros(lasts)));
+        environment.command_server(
+            number,
+            cache_server::ControlCommand::Stall(micros(duration)),
+        );
     }
 }
 
-/// `slow-boxes`: cache boxes work slower.
+/// `slow-boxes`: slows cache servers down.
 pub(super) fn slow_down(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
-    let times = fault.number("times");
-    let lasts = fault.number("for");
+    let factor = fault.number("times");
+    let duration = fault.number("for");
     let count = fault.number("count") as usize;
     for number in scheduler.pick_servers(count) {
-        environment.command_server(number, cache_server::ControlCommand::Slow(times));
-        scheduler.after(lasts, move |_, environment| {
+        environment.command_server(number, cache_server::ControlCommand::Slow(factor));
+        scheduler.after(duration, move |_, environment| {
             environment.command_server(number, cache_server::ControlCommand::Slow(1.0));
         });
     }
 }
 
-/// `spoil`: a part of the answers can't be read.
+/// `spoil`: corrupts a fraction of the responses of all cache servers.
 pub(super) fn corrupt_responses(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     command_all(
         scheduler,
         fraction,
-        lasts,
+        duration,
         cache_server::ControlCommand::Spoil,
         environment,
     );
 }
 
-/// `surplus`: a part of the answers brings more than belongs to it.
+/// `surplus`: appends surplus bytes to a fraction of the responses of all cache servers.
 pub(super) fn append_surplus_bytes(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     command_all(
         scheduler,
         fraction,
-        lasts,
+        duration,
         cache_server::ControlCommand::Surplus,
         environment,
     );
 }
 
-/// `errors`: a part of the attempts ends in an error after it has run.
+/// `errors`: makes all cache servers answer a fraction of the attempts with an error after execution.
 pub(super) fn fail_attempts_everywhere(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let lasts = fault.number("for");
+    let duration = fault.number("for");
     command_all(
         scheduler,
         fraction,
-        lasts,
+        duration,
         cache_server::ControlCommand::Errors,
         environment,
     );
 }
 
-/// `deploy`: a part of the fleet is replaced, some boxes at a time: drained, ended, succeeded cold.
+/// `deploy`: replaces a fraction of the cache servers one by one: drains it, ends it, starts a cold successor.
 pub(super) fn deploy(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     _environment: &mut dyn FaultEnvironment,
 ) {
     let fraction = fault.number("part");
-    let (over, grace) = (fault.number("over"), fault.number("grace"));
+    let (period, grace) = (fault.number("over"), fault.number("grace"));
     let count = (fraction * scheduler.servers.len() as f64).ceil() as usize;
-    let mut old = scheduler.pick_servers(count);
-    old.sort_unstable();
-    let step = over / old.len().max(1) as f64;
-    for (i, number) in old.into_iter().enumerate() {
-        scheduler.servers[number].leaving = true;
+    let mut replaced = scheduler.pick_servers(count);
+    replaced.sort_unstable();
+    let step = period / replaced.len().max(1) as f64;
+    for (i, number) in replaced.into_iter().enumerate() {
+        scheduler.servers[number].excluded = true;
         scheduler.after(step * i as f64, move |scheduler, environment| {
             replace(scheduler, number, grace, environment);
         });
     }
 }
 
-/// `relist`: a box that has gone is named in the list again for a while.
+/// `relist`: puts the last ended cache server into the endpoint list again for a while.
 pub(super) fn list_ended_server_again(
     scheduler: &mut FaultScheduler,
     fault: &Fault,
     environment: &mut dyn FaultEnvironment,
 ) {
-    let lasts = fault.number("for");
-    let gone = (0..scheduler.servers.len()).rfind(|i| !scheduler.servers[*i].alive);
+    let duration = fault.number("for");
+    let ended = (0..scheduler.servers.len()).rfind(|i| !scheduler.servers[*i].alive);
     if let Some(number) =
-        gone.filter(|i| scheduler.servers[*i].announced == AnnouncedState::Removed)
+        ended.filter(|i| scheduler.servers[*i].announced == AnnouncedState::Removed)
     {
         let boot = scheduler.now;
         scheduler.announce(number, AnnouncedState::InService { boot }, environment);
-        scheduler.after(lasts, move |scheduler, environment| {
+        scheduler.after(duration, move |scheduler, environment| {
             scheduler.announce(number, AnnouncedState::Removed, environment);
         });
     }
 }
 
-/// Gives all servers a command with this fraction, and with 0 when the fault is over.
+/// Sends all servers a command with this fraction, and with 0 at the end of the fault.
 fn command_all(
     scheduler: &mut FaultScheduler,
     fraction: f64,
-    lasts: f64,
+    duration: f64,
     command: fn(f64) -> cache_server::ControlCommand,
     environment: &mut dyn FaultEnvironment,
 ) {
     for number in 0..scheduler.servers.len() {
         environment.command_server(number, command(fraction));
     }
-    scheduler.after(lasts, move |scheduler, environment| {
+    scheduler.after(duration, move |scheduler, environment| {
         (0..scheduler.servers.len()).for_each(|n| environment.command_server(n, command(0.0)));
     });
 }
 
-/// Drains a server, ends it after the grace period, and starts a cold successor beside it.
+/// Starts a cold successor of a server, drains the server, and ends it after the grace period.
 fn replace(
     scheduler: &mut FaultScheduler,
     number: usize,
@@ -233,7 +236,7 @@
         return;
     }
     scheduler.announce(number, AnnouncedState::Draining, environment);
-    // It rejects what still comes once nodes had time to stop sending.
+    // The server rejects new requests once the nodes have had time to stop sending them.
     scheduler.after(2.0 + NOTICE_DELAY.0, move |_, environment| {
         environment.command_server(number, cache_server::ControlCommand::Drain);
     });
--- a/crates/testbed/src/faults/swarm.rs
+++ b/crates/testbed/src/faults/swarm.rs
@@ -5,7 +5,7 @@
 use super::kinds::{FieldKind, FAULTS, SWARM_FAULT_COUNT};
 use super::scenario::{Fault, FieldValue, Scenario};
 
-/// A mix of faults from a seed.
+/// A scenario with a random mix of faults, which follows from the seed alone.
 pub fn swarm(seed: u64) -> Scenario {
     let mut rng = Rng::stream(seed, "swarm", 0);
     let seconds = 20.0;
@@ -44,7 +44,7 @@
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
     Scenario {
         name: "swarm".to_string(),
-        about: "faults mixed by chance".to_string(),
+        about: "a random mix of faults".to_string(),
         seconds,
         nodes: 4,
         servers: 12 + rng.below(9),
--- a/crates/testbed/tests/play.rs
+++ b/crates/testbed/tests/play.rs
@@ -290,7 +290,7 @@
         (11, "fault void: at is -2; allowed: seconds from 0 to 3600"),
         (
             12,
-            "fault void: part is 1.5; allowed: a part of one from 0 to 1",
+            "fault void: part is 1.5; allowed: a fraction from 0 to 1",
         ),
         (
             13,
@@ -323,7 +323,7 @@
     let late = "name = \"x\"\nseconds = 3\n[[fault]]\nkind = \"void\"\nat = 4\n";
     let late = scenario::parse(late).unwrap_err();
     assert_eq!((late.len(), late[0].line), (1, 5), "{late:?}");
-    assert_eq!(late[0].why, "at is 4; the scenario is over after 3 seconds");
+    assert_eq!(late[0].why, "at is 4; the scenario ends after 3 seconds");
     let broken = scenario::parse("name = \"x\"\nseconds = = 3").unwrap_err();
     assert_eq!((broken.len(), broken[0].line), (1, 2));
 }
