--- a/crates/testbed/src/report.rs
+++ b/crates/testbed/src/report.rs
@@ -22,17 +22,29 @@
     pub requested: Vec<u64>,
     /// By class: those of `requested` that were served, by themselves or by a retry, within the latency objective.
     pub in_time: Vec<u64>,
+    /// Requests answered with a value.
     pub served: u64,
+    /// Requests that were rejected.
     pub busy: u64,
+    /// Requests answered with an error, or with a value that was not made for them.
     pub failed: u64,
+    /// Requests whose connection ended before the complete answer.
     pub ended: u64,
+    /// First requests whose client disconnected before the answer.
     pub disconnected: u64,
+    /// Requests with which a client retried an earlier one.
     pub retries: u64,
+    /// Attempts that cache servers received.
     pub attempts: u64,
+    /// Fetches by the origin, without shared ones.
     pub fetches: u64,
+    /// Reads that the origin answered with a fetch already in progress.
     pub shared_fetches: u64,
+    /// Writes that took effect at the origin.
     pub effects: u64,
+    /// Repeated writes that the origin dropped.
     pub dropped_repeats: u64,
+    /// Times from the sending of a request until its answer with a value.
     latencies: Vec<Micros>,
 }
 
@@ -212,13 +224,13 @@
             Answer::Failed | Answer::Foreign(_) => span.failed += 1,
         }
         if *answer == Answer::Served {
-            self.served_first(at, &open);
+            self.count_in_time(at, &open);
         }
     }
 
     /// Counts a first request as in time if this is the first answer with a value to it or a retry of it, and if it arrived
     /// within the latency objective of the class.
-    fn served_first(&mut self, at: Micros, open: &Open) {
+    fn count_in_time(&mut self, at: Micros, open: &Open) {
         let objective = self.classes[open.class].latency_objective;
         let Some((requested, class, done)) = self.firsts.get_mut(&open.first) else {
             return;
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -15,7 +15,9 @@
 use crate::report;
 use crate::requirements::{ColdServerLimits, Repeat, Requirements};
 
+/// Zones, in which nodes and cache servers are placed in turn.
 pub const ZONES: [&str; 2] = ["ops-center", "eastside-plant"];
+/// Kinds of machines of the cache servers: standard and slower.
 pub const KINDS: [&str; 2] = ["std-box", "slow-box"];
 
 /// The kinds of cache servers that serve the memcached binary protocol, in the order of [`KINDS`].
@@ -72,14 +74,21 @@
 ];
 /// How long a repeated write with the same idempotency key is dropped, whichever cache server it arrives at.
 pub const DEDUPLICATION_WINDOW: Micros = 10_000_000;
+/// The longest deadline of all classes.
 pub const MAX_DEADLINE: Micros = 2_000_000;
+/// Time after an announcement for which nodes may still send to a server that is draining or removed.
 const DRAIN_GRACE: Micros = 2_000_000;
+/// Time after a client's deadline until which an answer still counts as in time.
 const ANSWER_SLACK: Micros = 8_000;
 /// Added to each time limit, for the delays of runs on sockets.
 const SOCKETS_SLACK: Micros = 50_000;
+/// Capacity of a cold server at its start, as a fraction of its capacity when warm.
 pub const COLD_FROM: f64 = 0.13;
+/// Time from a cold server's start after which nodes and checker treat it as warm.
 pub const COLD: Micros = 24_000_000;
+/// Time over which the work that a server receives is summed, to find an overload.
 pub const FALL: Micros = 2_000_000;
+/// A cold server fails if the work of that time exceeds this multiple of its capacity.
 pub const FALL_MULTIPLE: f64 = 2.5;
 /// Mean processing time of a request at a cache server, on a standard core.
 const READ_WORK: Micros = 14_000;
@@ -87,6 +96,7 @@
 const CONNECT_TIMEOUT: Micros = 75_000;
 const CONN_IDLE: Micros = 10_000_000;
 pub const MEMORY_MB: usize = 64;
+/// Limit of a node on open file descriptors.
 pub const SOCKETS: usize = 512;
 
 /// Protocols that the cache servers serve.
