--- a/crates/testbed/src/network/hosts.rs
+++ b/crates/testbed/src/network/hosts.rs
@@ -1,4 +1,4 @@
-//! What lives on the hosts of a virtual network, and whose turn it is.
+//! The processes on the hosts of a virtual network, and the order in which they run.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,26 +6,28 @@
 
 use sloewick_decision::api::Micros;
 
-use crate::network::{HostId, Shared, VNet, World};
+use crate::network::{HostId, SharedWorld, VNet, World};
 use crate::port::Actor;
 
 struct Slot {
     actor: Option<Box<dyn Actor>>,
-    /// In virtual time.
+    /// Virtual time at which the actor next has something to do.
     due: Micros,
+    /// Virtual time at which the actor was placed; its own clock counts from there.
     started: Micros,
-    /// Its machine is silent: it does nothing either.
+    /// The process is paused or its machine is isolated; the actor does not run.
     frozen: bool,
-    /// Until then it has not begun to act.
-    begins: Micros,
+    /// Virtual time before which the actor does not run.
+    runs_from: Micros,
 }
 
-/// Actors on a network. Each acts when something has come for it or its time has come; in one instant all
-/// arrivals are delivered first, then hosts act in the order of their numbers.
+/// The actors on a network. An actor runs when its host has received something or when its next due time is reached.
+/// At each instant all arrivals are delivered first; then the hosts run in the order of their numbers.
 pub struct Hosts {
-    pub world: Shared,
+    pub world: SharedWorld,
     slots: BTreeMap<HostId, Slot>,
-    touched: Vec<HostId>,
+    /// Hosts that run at the next step although they have received nothing.
+    woken: Vec<HostId>,
 }
 
 impl Hosts {
@@ -33,7 +35,7 @@
         Hosts {
             world: Rc::new(RefCell::new(world)),
             slots: BTreeMap::new(),
-            touched: Vec::new(),
+            woken: Vec::new(),
         }
     }
 
@@ -45,23 +47,23 @@
         self.world.borrow().now
     }
 
-    /// Starts an actor on a host; it acts first at the next step.
+    /// Starts an actor on a host; it first runs at the next step.
     pub fn place(&mut self, host: HostId, actor: Box<dyn Actor>) {
-        self.place_late(host, actor, 0);
+        self.place_delayed(host, actor, 0);
     }
 
-    /// Starts an actor that acts first after so long; what comes meanwhile waits.
-    pub fn place_late(&mut self, host: HostId, actor: Box<dyn Actor>, after: Micros) {
+    /// Starts an actor that first runs after the given delay, in microseconds; whatever arrives before then waits.
+    pub fn place_delayed(&mut self, host: HostId, actor: Box<dyn Actor>, delay: Micros) {
         let started = self.now();
-        let begins = started + after;
+        let runs_from = started + delay;
         self.slots.insert(
             host,
             Slot {
                 actor: Some(actor),
-                due: begins,
+                due: runs_from,
                 started,
                 frozen: false,
-                begins,
+                runs_from,
             },
         );
         self.wake(host);
@@ -70,7 +72,7 @@
     /// Ends the process on a host, if there is one.
     pub fn end(&mut self, host: HostId) {
         self.world.borrow_mut().kill(host);
-        // Its sockets are closed by the kill; dropping it closes nothing twice.
+        // `kill` has closed the sockets already; dropping the actor does not close them again.
         self.slots.remove(&host);
     }
 
@@ -78,12 +80,12 @@
         self.slots.contains_key(&host)
     }
 
-    /// Lets a host act at the next step, though nothing has come for it.
+    /// Lets a host run at the next step although it has received nothing.
     pub fn wake(&mut self, host: HostId) {
-        self.touched.push(host);
+        self.woken.push(host);
     }
 
-    /// The machine falls silent.
+    /// Isolates a machine from the network and freezes its process.
     pub fn isolate(&mut self, host: HostId) {
         self.world.borrow_mut().isolate(host);
         if let Some(slot) = self.slots.get_mut(&host) {
@@ -91,7 +93,7 @@
         }
     }
 
-    /// A process does nothing from now on; what is sent to it waits.
+    /// Freezes a process until it is resumed; what is sent to it waits.
     pub fn pause(&mut self, host: HostId) {
         if let Some(slot) = self.slots.get_mut(&host) {
             slot.frozen = true;
@@ -105,21 +107,21 @@
         }
     }
 
-    /// A machine that had fallen silent is back; whether it was.
+    /// Reconnects an isolated machine and lets its process run again. Returns whether its process was frozen.
     pub fn come_back(&mut self, host: HostId) -> bool {
-        let back = self
+        let was_frozen = self
             .slots
             .get_mut(&host)
             .is_some_and(|s| std::mem::take(&mut s.frozen));
-        if back {
-            self.world.borrow_mut().come_back(host);
+        if was_frozen {
+            self.world.borrow_mut().end_isolation(host);
         }
-        back
+        was_frozen
     }
 
-    /// When something happens next.
-    pub fn next(&self) -> Micros {
-        if !self.touched.is_empty() {
+    /// Virtual time of the next arrival or the next due time of an actor that is not frozen, whichever is earlier.
+    pub fn next_event_time(&self) -> Micros {
+        if !self.woken.is_empty() {
             return self.now();
         }
         let event = self.world.borrow().next_event().unwrap_or(Micros::MAX);
@@ -132,8 +134,8 @@
         event.min(due.unwrap_or(Micros::MAX)).max(self.now())
     }
 
-    /// Goes on to this time, delivers what arrives then and lets act whoever has something to do. Returns those
-    /// that have ended by themselves.
+    /// Advances virtual time to `to`, delivers what arrives by then and runs each host that has something to do.
+    /// Returns the hosts whose process has ended by itself.
     pub fn advance(&mut self, to: Micros) -> Vec<HostId> {
         self.world.borrow_mut().advance(to);
         let mut awake = self.world.borrow_mut().take_awake();
@@ -143,36 +145,39 @@
                 .filter(|(_, s)| s.due <= to)
                 .map(|(host, _)| *host),
         );
-        awake.append(&mut self.touched);
+        awake.append(&mut self.woken);
         awake.sort_unstable();
         awake.dedup();
-        awake.into_iter().filter(|host| self.turn(*host)).collect()
+        awake
+            .into_iter()
+            .filter(|host| self.run_host(*host))
+            .collect()
     }
 
-    /// Plays on alone until this time.
+    /// Advances virtual time to `end`, step by step.
     pub fn play_to(&mut self, end: Micros) {
-        while self.next() <= end {
-            let next = self.next();
+        while self.next_event_time() <= end {
+            let next = self.next_event_time();
             self.advance(next);
         }
         self.world.borrow_mut().advance(end);
     }
 
-    /// Lets a host act; whether it has ended.
-    fn turn(&mut self, host: HostId) -> bool {
+    /// Runs a host's actor. Returns whether its process has ended.
+    fn run_host(&mut self, host: HostId) -> bool {
         let now = self.now();
         let Some(slot) = self
             .slots
             .get_mut(&host)
-            .filter(|s| !s.frozen && s.begins <= now)
+            .filter(|s| !s.frozen && s.runs_from <= now)
         else {
             return false;
         };
         let Some(actor) = &mut slot.actor else {
             return false;
         };
-        let turned = actor.turn(0);
-        if let Some(due) = turned.ok().and_then(|()| actor.prepare()) {
+        let result = actor.turn(0);
+        if let Some(due) = result.ok().and_then(|()| actor.prepare()) {
             slot.due = due.saturating_add(slot.started);
             false
         } else {
--- a/crates/testbed/src/network/mod.rs
+++ b/crates/testbed/src/network/mod.rs
@@ -1,10 +1,11 @@
 //! A network on virtual time: hosts, TCP-like connections, links with delay and faults. Time stands still
-//! while a host acts and jumps to the next event. All chance comes from one seed, and everything that happens
-//! has a place in one order, so a run is the same each time, byte for byte.
+//! while a host runs and jumps to the next event. All random draws come from one seed, and all events are totally
+//! ordered, so a run is the same each time, byte for byte.
 //!
-//! What is modelled of TCP: order and wholeness of what arrives, a bounded window, partial writes, an end of
-//! sending, a reset when a process dies or closes with unread bytes, refusal, and silence: a machine that has
-//! vanished, or a direction that is cut, answers nothing, and what was sent into a cut arrives when it heals.
+//! The following parts of TCP are modelled: ordered and complete delivery, a bounded receive window, partial writes,
+//! half-close, a reset when a process dies or closes a connection with unread bytes, refused connections, and
+//! unreachable peers. A machine that has vanished does not reply, and neither does one behind a direction that is cut.
+//! What was sent into a cut arrives when it heals.
 
 pub mod hosts;
 
@@ -23,46 +24,49 @@
 use crate::port::SendTimes;
 use crate::rng::Rng;
 
-/// Bytes under way or unread in one direction of a connection.
+/// Most bytes in flight or unread in one direction of a connection.
 pub const RECEIVE_WINDOW: usize = 256 << 10;
-/// Connections that wait to be accepted; more are not answered, as by a full SYN queue.
-const BACKLOG: usize = 1024;
-/// After a cut has healed, the longest until TCP has sent again what was lost in it.
-const RESEND_MOST: f64 = 400_000.0;
+/// Most connections of a listener that wait to be accepted. Further ones get no reply, as with a full SYN queue.
+const MAX_BACKLOG: usize = 1024;
+/// Longest time after a cut has healed until TCP has retransmitted what was lost in it, in microseconds.
+const MAX_RETRANSMIT_DELAY: f64 = 400_000.0;
 /// Unix time of virtual time 0, in microseconds.
 pub const EPOCH: Micros = 1_900_000_000_000_000;
-/// EMFILE.
-const NO_DESCRIPTORS: i32 = 24;
+/// The error number of "too many open files".
+const EMFILE: i32 = 24;
 
+/// Number of a host, from 0 in order of creation.
 pub type HostId = usize;
 
-/// How far two zones are apart, one way, in microseconds.
+/// Delay of the network, one way, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Delay {
+    /// Within a zone.
     pub same: Micros,
+    /// Between zones.
     pub cross: Micros,
-    /// Part of the delay that chance adds at most.
+    /// Most that is added at random, as a fraction of the delay.
     pub jitter: f64,
 }
 
 impl Delay {
-    /// The longest that anything takes one way while nothing is cut.
-    pub fn most(&self) -> Micros {
+    /// Longest one-way delay while no link is cut, in microseconds.
+    pub fn max_one_way(&self) -> Micros {
         (self.same.max(self.cross) as f64 * (1.0 + self.jitter)) as Micros + 1
     }
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A connection is asked for.
+    /// A connection request arrives at the host that listens.
     Syn { conn: usize, serial: u64 },
-    /// Something arrives at one end: the next of what is under way to it.
+    /// The next inbound segment arrives at one end.
     Arrive {
         conn: usize,
         serial: u64,
         end: usize,
     },
-    /// A write that was turned away for a while may go on.
+    /// A write that was blocked at random may be tried again.
     WriteRetry {
         conn: usize,
         serial: u64,
@@ -70,76 +74,90 @@
     },
 }
 
+/// What one end of a connection sends to the other.
 #[derive(Debug)]
-enum Parcel {
-    /// And when it was sent.
+enum Segment {
+    /// The bytes, and the virtual time at which they were sent.
     Data(Bytes, Micros),
-    Opened,
+    SynAck,
     Refused,
-    End,
+    Fin,
     Reset,
 }
 
+/// One end of a connection.
 #[derive(Debug)]
-struct End {
+struct ConnectionEnd {
     host: HostId,
+    /// None until the connection is accepted.
     token: Option<Token>,
-    up: bool,
-    rx: VecDeque<(Bytes, Micros)>,
-    rx_len: usize,
-    ended: bool,
+    /// The connection is established.
+    is_established: bool,
+    /// Received bytes that were not read yet, each with the virtual time at which it was sent.
+    received: VecDeque<(Bytes, Micros)>,
+    received_len: usize,
+    /// The peer has ended its sending.
+    peer_ended: bool,
     error: Option<ErrorKind>,
-    /// The holder was told of the error; reads go on failing.
+    /// The process has taken the error; reads keep failing.
     error_taken: bool,
-    /// Dropped by its holder, or its host has died.
+    /// The process has dropped its stream, or it has died.
     closed: bool,
     fin_sent: bool,
-    /// On its way to this end, in order, each with when it arrives.
-    inbound: VecDeque<(Micros, Parcel)>,
+    /// In flight to this end, in order, each with the virtual time of its arrival.
+    inbound: VecDeque<(Micros, Segment)>,
     inbound_len: usize,
-    last: Micros,
-    /// A write was turned away: tell when there is room.
-    blocked: bool,
-    /// It is reset at the first bytes that come to it.
-    doomed: bool,
-    listed: bool,
+    /// Virtual time of the latest arrival scheduled so far; later ones do not overtake it.
+    last_arrival: Micros,
+    /// A write found no capacity; the process is notified once there is some.
+    write_blocked: bool,
+    /// The connection is reset when the first bytes arrive at this end.
+    reset_on_data: bool,
+    /// This end is in its host's `ready`.
+    is_ready: bool,
 }
 
-impl End {
-    fn new(host: HostId, token: Option<Token>) -> End {
-        End {
+impl ConnectionEnd {
+    fn new(host: HostId, token: Option<Token>) -> ConnectionEnd {
+        ConnectionEnd {
             host,
             token,
-            up: false,
-            rx: VecDeque::new(),
-            rx_len: 0,
-            ended: false,
+            is_established: false,
+            received: VecDeque::new(),
+            received_len: 0,
+            peer_ended: false,
             error: None,
             error_taken: false,
             closed: false,
             fin_sent: false,
             inbound: VecDeque::new(),
             inbound_len: 0,
-            last: 0,
-            blocked: false,
-            doomed: false,
-            listed: false,
+            last_arrival: 0,
+            write_blocked: false,
+            reset_on_data: false,
+            is_ready: false,
         }
     }
 }
 
 #[derive(Debug)]
-struct Conn {
+struct Connection {
+    /// Distinguishes connections that use the same slot one after another.
     serial: u64,
-    ends: [End; 2],
+    /// The end that has connected, and the end of the listener.
+    ends: [ConnectionEnd; 2],
+    /// The address that was connected to.
     to: SocketAddr,
 }
 
+/// A listening socket.
 #[derive(Debug)]
-struct Port {
+struct ListeningSocket {
     host: HostId,
     token: Token,
-    waiting: VecDeque<usize>,
+    /// Connections that were not accepted yet.
+    backlog: VecDeque<usize>,
+    /// The host was notified, and has not accepted everything since.
     notified: bool,
 }
 
@@ -149,52 +167,65 @@
     zone: usize,
     alive: bool,
     isolated: bool,
+    /// Open descriptors.
     descriptors: usize,
-    descriptors_most: usize,
-    descriptors_peak: usize,
-    /// Where its clock stands against virtual time.
+    max_descriptors: usize,
+    peak_descriptors: usize,
+    /// Virtual time at which the process was started; its clock counts from there.
     started: Micros,
+    /// Error of its wall clock, in microseconds.
     skew: Micros,
     pending_signals: PendingSignals,
+    /// Signals have arrived since the last poll.
     signalled: bool,
+    /// Ends that the next poll reports: number of the connection, and 0 (client) or 1 (server).
     ready: Vec<(usize, usize)>,
+    /// Listeners that the next poll reports.
     listeners_ready: Vec<SocketAddr>,
+    /// This host is in `World::awake`.
     is_queued: bool,
-    /// Writes between this one and others of the kind take only part of what they are given.
-    partial: f64,
+    /// A write is blocked for a while with half this probability, and otherwise cut short with this probability. Of
+    /// two connected hosts the lower value applies.
+    partial_writes: f64,
     /// New connections to it are refused.
-    refuses: bool,
+    refuses_connections: bool,
+    /// Lines that the process has logged.
     log: Vec<String>,
 }
 
-/// The whole network.
+/// The whole network: hosts, connections and the events to come.
 #[derive(Debug)]
 pub struct World {
+    /// Virtual time in microseconds.
     pub now: Micros,
+    /// Number of the latest event; orders events of the same time.
     seq: u64,
+    /// Serial number of the latest connection.
     serial: u64,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     hosts: Vec<Host>,
-    conns: Slab<Conn>,
-    ports: BTreeMap<SocketAddr, Port>,
-    /// Which machine an address is on, also while nobody listens there.
+    conns: Slab<Connection>,
+    listeners: BTreeMap<SocketAddr, ListeningSocket>,
+    /// The machine that an address belongs to, also while no process listens there.
     addresses: BTreeMap<SocketAddr, HostId>,
     delay: Delay,
-    /// Ends and resets that this host sends arrive so much later.
-    ends_late: Option<(HostId, Micros)>,
-    /// Each of so many connections that this host opens is reset at its first bytes, and how many it has opened.
-    shut: Option<(HostId, u64, u64)>,
-    /// Directions that are cut, by host.
+    /// A host, and the extra delay of the ends and resets that it sends.
+    close_delay: Option<(HostId, Micros)>,
+    /// A host, a number n, and how many connections the host has opened: each n-th is reset at its first bytes.
+    forced_resets: Option<(HostId, u64, u64)>,
+    /// Cut directions: from the first host to the second.
     cuts: BTreeSet<(HostId, HostId)>,
-    /// What waits for a cut to heal.
-    held: Vec<(HostId, HostId, Event)>,
+    /// Events that wait until the cut from the first host to the second heals.
+    cut_events: Vec<(HostId, HostId, Event)>,
     rng: Rng,
+    /// Hosts on which something has happened since they last ran.
     awake: Vec<HostId>,
-    /// A running digest of everything that passed.
+    /// Running digest (FNV-1a) of all deliveries.
     digest: u64,
 }
 
-pub type Shared = Rc<RefCell<World>>;
+/// A network that its hosts' transports share.
+pub type SharedWorld = Rc<RefCell<World>>;
 
 impl World {
     pub fn new(seed: u64, delay: Delay) -> World {
@@ -205,83 +236,87 @@
             events: BinaryHeap::new(),
             hosts: Vec::new(),
             conns: Slab::new(),
-            ports: BTreeMap::new(),
+            listeners: BTreeMap::new(),
             addresses: BTreeMap::new(),
             delay,
-            ends_late: None,
-            shut: None,
+            close_delay: None,
+            forced_resets: None,
             cuts: BTreeSet::new(),
-            held: Vec::new(),
+            cut_events: Vec::new(),
             rng: Rng::stream(seed, "network", 0),
             awake: Vec::new(),
             digest: 0xcbf2_9ce4_8422_2325,
         }
     }
 
-    /// A machine in a zone that holds so many descriptors.
-    pub fn host(&mut self, name: &str, zone: usize, descriptors_most: usize) -> HostId {
+    /// Adds a machine in a zone; its process may hold this many descriptors.
+    pub fn host(&mut self, name: &str, zone: usize, max_descriptors: usize) -> HostId {
         self.hosts.push(Host {
             name: name.to_string(),
             zone,
             alive: true,
-            descriptors_most,
+            max_descriptors,
             started: self.now,
             ..Host::default()
         });
         self.hosts.len() - 1
     }
 
-    pub fn net(world: &Shared, host: HostId) -> VNet {
+    /// The transport of a host.
+    pub fn net(world: &SharedWorld, host: HostId) -> VNet {
         VNet {
             world: world.clone(),
             host,
         }
     }
 
-    /// Puts an address on a machine; what listened there before keeps its open connections.
+    /// Assigns an address to a machine. The previous owner of the address keeps its open connections.
     pub fn address(&mut self, host: HostId, at: SocketAddr) {
         self.addresses.insert(at, host);
     }
 
+    /// Digest of all deliveries so far.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    fn note(&mut self, bytes: &[u8]) {
+    fn update_digest(&mut self, bytes: &[u8]) {
         for byte in bytes {
             self.digest = (self.digest ^ u64::from(*byte)).wrapping_mul(0x100_0000_01b3);
         }
     }
 
+    /// Open descriptors of a host, the most it has held at once, and its limit.
     pub fn descriptors(&self, host: HostId) -> (usize, usize, usize) {
         let h = &self.hosts[host];
-        (h.descriptors, h.descriptors_peak, h.descriptors_most)
+        (h.descriptors, h.peak_descriptors, h.max_descriptors)
     }
 
+    /// Takes the lines that a host's process has logged since the last call.
     pub fn take_log(&mut self, host: HostId) -> Vec<String> {
         std::mem::take(&mut self.hosts[host].log)
     }
 
     // ---- faults ----
 
-    /// The process dies: its connections are reset, its address refuses.
+    /// Kills the process on a host: its connections are reset, and its addresses refuse connections.
     pub fn kill(&mut self, host: HostId) {
-        let mine: Vec<(usize, usize)> = self.ends_of(host);
-        for (conn, end) in mine {
+        let own_ends: Vec<(usize, usize)> = self.ends_of(host);
+        for (conn, end) in own_ends {
             if !self.conns[conn].ends[end].closed {
                 self.conns[conn].ends[end].closed = true;
-                self.send(conn, end, Parcel::Reset);
-                self.tidy(conn);
+                self.send(conn, end, Segment::Reset);
+                self.remove_if_closed(conn);
             }
         }
-        let ports: Vec<SocketAddr> = self
-            .ports
+        let listeners: Vec<SocketAddr> = self
+            .listeners
             .iter()
             .filter(|(_, p)| p.host == host)
             .map(|(at, _)| *at)
             .collect();
-        for at in ports {
-            self.close_port(at);
+        for at in listeners {
+            self.close_listener(at);
         }
         let h = &mut self.hosts[host];
         h.alive = false;
@@ -291,14 +326,14 @@
         (h.pending_signals, h.signalled) = (PendingSignals::default(), false);
     }
 
-    /// A process starts on the machine of one that died.
+    /// Starts a new process on the machine of one that has died.
     pub fn restart_host(&mut self, host: HostId) {
         let now = self.now;
         let h = &mut self.hosts[host];
         (h.alive, h.isolated, h.started, h.descriptors) = (true, false, now, 0);
     }
 
-    /// The machine says nothing any more; its connections stay open and silent.
+    /// Cuts a machine off in both directions: all that it sends or is sent is lost, and its connections stay open.
     pub fn isolate(&mut self, host: HostId) {
         self.hosts[host].isolated = true;
     }
@@ -308,43 +343,46 @@
         if cut {
             self.cuts.insert((from, to));
         } else if self.cuts.remove(&(from, to)) {
-            let (now, held) = (self.now, std::mem::take(&mut self.held));
-            let (free, held): (Vec<_>, Vec<_>) =
-                held.into_iter().partition(|h| (h.0, h.1) == (from, to));
-            self.held = held;
-            // In order within a connection: all of one cut are sent again after the same pause.
-            let pause = (self.rng.unit_interval() * RESEND_MOST) as Micros;
-            for (_, _, event) in free {
+            let (now, waiting) = (self.now, std::mem::take(&mut self.cut_events));
+            let (healed, still_cut): (Vec<_>, Vec<_>) =
+                waiting.into_iter().partition(|h| (h.0, h.1) == (from, to));
+            self.cut_events = still_cut;
+            // The same pause for all events of a cut keeps the order within a connection.
+            let pause = (self.rng.unit_interval() * MAX_RETRANSMIT_DELAY) as Micros;
+            for (_, _, event) in healed {
                 self.push(now + pause, event);
             }
         }
     }
 
-    /// Ends and resets that this host sends arrive so much later.
+    /// Delays the arrival of ends and resets that this host sends, in microseconds.
     pub fn delay_close_notifications(&mut self, host: HostId, by: Micros) {
-        self.ends_late = Some((host, by));
+        self.close_delay = Some((host, by));
     }
 
-    /// Each of so many connections that this host opens from now on is reset at its first bytes; none for 0.
-    pub fn shut_new(&mut self, host: HostId, of: u64) {
-        self.shut = (of > 0).then_some((host, of, 0));
+    /// Resets each `of`-th connection that this host opens from now on at its first bytes; none if `of` is 0.
+    pub fn reset_new_connections(&mut self, host: HostId, of: u64) {
+        self.forced_resets = (of > 0).then_some((host, of, 0));
     }
 
+    /// Sets the probability that a write between this host and others that have one takes only some of its bytes.
     pub fn set_partial(&mut self, host: HostId, fraction: f64) {
-        self.hosts[host].partial = fraction;
+        self.hosts[host].partial_writes = fraction;
     }
 
+    /// Makes a host refuse new connections, or accept them again.
     pub fn set_refuses(&mut self, host: HostId, refuses: bool) {
-        self.hosts[host].refuses = refuses;
+        self.hosts[host].refuses_connections = refuses;
     }
 
+    /// Sets the error of a host's wall clock, in microseconds.
     pub fn set_skew(&mut self, host: HostId, skew: Micros) {
         self.hosts[host].skew = skew;
     }
 
-    /// Resets this part of the connections that are open between two groups of hosts.
+    /// Resets a fraction of the connections between two groups of hosts, drawn at random.
     pub fn reset_some(&mut self, some: &[HostId], others: &[HostId], fraction: f64) {
-        let between = |c: &Conn| {
+        let between = |c: &Connection| {
             let (a, b) = (&c.ends[0].host, &c.ends[1].host);
             (some.contains(a) && others.contains(b)) || (some.contains(b) && others.contains(a))
         };
@@ -356,16 +394,17 @@
             .collect();
         for conn in open {
             if self.rng.chance(fraction) {
-                (0..2).for_each(|end| self.send(conn, end, Parcel::Reset));
+                (0..2).for_each(|end| self.send(conn, end, Segment::Reset));
             }
         }
     }
 
-    /// A machine that had fallen silent is back, its process still as it was.
-    pub fn come_back(&mut self, host: HostId) {
+    /// Reconnects an isolated machine; the state of its process is unchanged.
+    pub fn end_isolation(&mut self, host: HostId) {
         self.hosts[host].isolated = false;
     }
 
+    /// Sends signals to the process on a host.
     pub fn signal(&mut self, host: HostId, pending_signals: PendingSignals) {
         let h = &mut self.hosts[host];
         h.pending_signals.reload |= pending_signals.reload;
@@ -376,21 +415,22 @@
 
     // ---- time ----
 
+    /// Virtual time of the next event.
     pub fn next_event(&self) -> Option<Micros> {
         self.events.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// Goes on to this time and delivers what arrives at it.
+    /// Advances virtual time to `to` and delivers what arrives by then.
     pub fn advance(&mut self, to: Micros) {
         self.now = self.now.max(to);
         while self.next_event().is_some_and(|at| at <= self.now) {
             if let Some(Reverse((_, _, event))) = self.events.pop() {
-                self.happen(event);
+                self.handle_event(event);
             }
         }
     }
 
-    /// Hosts that something has happened to since they last acted.
+    /// Hosts on which something has happened since they last ran, in order of their numbers.
     pub fn take_awake(&mut self) -> Vec<HostId> {
         let mut awake = std::mem::take(&mut self.awake);
         awake.sort_unstable();
@@ -434,15 +474,15 @@
     }
 
     /// Sends from one end to the other.
-    fn send(&mut self, conn: usize, end: usize, parcel: Parcel) {
+    fn send(&mut self, conn: usize, end: usize, segment: Segment) {
         let (from, to) = (
             self.conns[conn].ends[end].host,
             self.conns[conn].ends[1 - end].host,
         );
         let mut delay = self.delay(from, to);
-        if matches!(parcel, Parcel::End | Parcel::Reset) {
+        if matches!(segment, Segment::Fin | Segment::Reset) {
             delay += self
-                .ends_late
+                .close_delay
                 .filter(|(host, _)| *host == from)
                 .map_or(0, |(_, by)| by);
         }
@@ -450,12 +490,12 @@
         let c = &mut self.conns[conn];
         let serial = c.serial;
         let far = &mut c.ends[1 - end];
-        far.last = far.last.max(now + delay);
-        let at = far.last;
-        if let Parcel::Data(bytes, _) = &parcel {
+        far.last_arrival = far.last_arrival.max(now + delay);
+        let at = far.last_arrival;
+        if let Segment::Data(bytes, _) = &segment {
             far.inbound_len += bytes.len();
         }
-        far.inbound.push_back((at, parcel));
+        far.inbound.push_back((at, segment));
         self.push(
             at,
             Event::Arrive {
@@ -466,7 +506,7 @@
         );
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let (conn, serial, end) = match event {
             Event::Syn { conn, serial } => (conn, serial, 1),
             Event::Arrive { conn, serial, end } | Event::WriteRetry { conn, serial, end } => {
@@ -477,61 +517,65 @@
             return;
         };
         if let Event::WriteRetry { .. } = event {
-            return self.list(conn, end);
+            return self.mark_ready(conn, end);
         }
         let (from, to) = (c.ends[1 - end].host, c.ends[end].host);
         if self.hosts[from].isolated || self.hosts[to].isolated {
-            // Silence. A reset of a machine that has come back is the next thing that is sent.
+            // An isolated machine neither sends nor receives: the event is lost. Once the machine is back, the next
+            // thing that it sends is a reset.
             let far = &mut self.conns[conn].ends[end];
             match event {
                 Event::Syn { .. } => far.closed = true,
                 _ => {
-                    if let Some((_, Parcel::Data(bytes, _))) = far.inbound.pop_front() {
+                    if let Some((_, Segment::Data(bytes, _))) = far.inbound.pop_front() {
                         far.inbound_len -= bytes.len();
                     }
                 }
             }
-            return self.tidy(conn);
+            return self.remove_if_closed(conn);
         }
         if self.cuts.contains(&(from, to)) {
-            return self.held.push((from, to, event));
+            return self.cut_events.push((from, to, event));
         }
         match event {
-            Event::Syn { .. } => self.syn(conn),
-            _ => self.arrive(conn, end),
+            Event::Syn { .. } => self.handle_connection_request(conn),
+            _ => self.handle_arrival(conn, end),
         }
     }
 
-    fn syn(&mut self, conn: usize) {
+    fn handle_connection_request(&mut self, conn: usize) {
         let to = self.conns[conn].to;
         let host = self.conns[conn].ends[1].host;
         if self.conns[conn].ends[0].closed {
             self.conns[conn].ends[1].closed = true;
-            return self.tidy(conn);
+            return self.remove_if_closed(conn);
         }
-        let refuses = !self.hosts[host].alive || self.hosts[host].refuses;
-        match self.ports.get_mut(&to).filter(|_| !refuses) {
-            Some(port) if port.waiting.len() < BACKLOG => {
-                port.waiting.push_back(conn);
-                let (host, notified) = (port.host, std::mem::replace(&mut port.notified, true));
+        let refuses = !self.hosts[host].alive || self.hosts[host].refuses_connections;
+        match self.listeners.get_mut(&to).filter(|_| !refuses) {
+            Some(listener) if listener.backlog.len() < MAX_BACKLOG => {
+                listener.backlog.push_back(conn);
+                let (host, notified) = (
+                    listener.host,
+                    std::mem::replace(&mut listener.notified, true),
+                );
                 if !notified {
                     self.hosts[host].listeners_ready.push(to);
                     self.wake(host);
                 }
-                self.conns[conn].ends[1].up = true;
-                self.send(conn, 1, Parcel::Opened);
+                self.conns[conn].ends[1].is_established = true;
+                self.send(conn, 1, Segment::SynAck);
             }
-            // No room: nobody answers.
+            // The backlog is full: no reply.
             Some(_) => {}
             None => {
                 self.conns[conn].ends[1].closed = true;
-                self.send(conn, 1, Parcel::Refused);
+                self.send(conn, 1, Segment::Refused);
             }
         }
     }
 
-    fn arrive(&mut self, conn: usize, end: usize) {
-        let Some((_, parcel)) = self.conns[conn].ends[end].inbound.pop_front() else {
+    fn handle_arrival(&mut self, conn: usize, end: usize) {
+        let Some((_, segment)) = self.conns[conn].ends[end].inbound.pop_front() else {
             return;
         };
         let mark = [
@@ -540,44 +584,45 @@
             (self.now & 0xff) as u8,
             (self.now >> 8 & 0xff) as u8,
         ];
-        self.note(&mark);
-        if let Parcel::Data(bytes, _) = &parcel {
+        self.update_digest(&mark);
+        if let Segment::Data(bytes, _) = &segment {
             self.conns[conn].ends[end].inbound_len -= bytes.len();
             let bytes = bytes.clone();
-            self.note(&bytes[..bytes.len().min(64)]);
+            self.update_digest(&bytes[..bytes.len().min(64)]);
         }
         let e = &mut self.conns[conn].ends[end];
         if e.closed {
-            if let Parcel::Data(..) = parcel {
-                // Nobody reads this any more.
+            if let Segment::Data(..) = segment {
+                // Data for a closed end is answered by a reset, unless the sender has closed too.
                 if !self.conns[conn].ends[1 - end].closed {
-                    self.send(conn, end, Parcel::Reset);
+                    self.send(conn, end, Segment::Reset);
                 }
             }
-            return self.tidy(conn);
+            return self.remove_if_closed(conn);
         }
-        if end == 1 && matches!(parcel, Parcel::Data(..)) && std::mem::take(&mut e.doomed) {
+        if end == 1 && matches!(segment, Segment::Data(..)) && std::mem::take(&mut e.reset_on_data)
+        {
             e.error = Some(ErrorKind::ConnectionReset);
-            self.send(conn, 1, Parcel::Reset);
-            return self.list(conn, end);
+            self.send(conn, 1, Segment::Reset);
+            return self.mark_ready(conn, end);
         }
-        match parcel {
-            Parcel::Data(bytes, sent) => {
-                e.rx_len += bytes.len();
-                e.rx.push_back((bytes, sent));
+        match segment {
+            Segment::Data(bytes, sent) => {
+                e.received_len += bytes.len();
+                e.received.push_back((bytes, sent));
             }
-            Parcel::Opened => e.up = true,
-            Parcel::Refused => e.error = Some(ErrorKind::ConnectionRefused),
-            Parcel::End => e.ended = true,
-            Parcel::Reset => e.error = e.error.or(Some(ErrorKind::ConnectionReset)),
+            Segment::SynAck => e.is_established = true,
+            Segment::Refused => e.error = Some(ErrorKind::ConnectionRefused),
+            Segment::Fin => e.peer_ended = true,
+            Segment::Reset => e.error = e.error.or(Some(ErrorKind::ConnectionReset)),
         }
-        self.list(conn, end);
+        self.mark_ready(conn, end);
     }
 
-    /// The holder of an end is to be told that something has happened on it.
-    fn list(&mut self, conn: usize, end: usize) {
+    /// Adds an end to its host's ready list, so that the next poll reports it.
+    fn mark_ready(&mut self, conn: usize, end: usize) {
         let e = &mut self.conns[conn].ends[end];
-        if e.token.is_none() || e.closed || std::mem::replace(&mut e.listed, true) {
+        if e.token.is_none() || e.closed || std::mem::replace(&mut e.is_ready, true) {
             return;
         }
         let host = e.host;
@@ -587,7 +632,7 @@
 
     fn send_capacity(&self, conn: usize, end: usize) -> usize {
         let far = &self.conns[conn].ends[1 - end];
-        RECEIVE_WINDOW.saturating_sub(far.rx_len + far.inbound_len)
+        RECEIVE_WINDOW.saturating_sub(far.received_len + far.inbound_len)
     }
 
     fn close(&mut self, conn: usize, end: usize) {
@@ -595,78 +640,79 @@
         if std::mem::replace(&mut e.closed, true) {
             return;
         }
-        let (host, unread) = (e.host, e.rx_len > 0);
-        let gone = e.error.is_some();
-        e.rx.clear();
-        e.rx_len = 0;
-        let sent_end = e.fin_sent;
+        let (host, unread) = (e.host, e.received_len > 0);
+        let has_failed = e.error.is_some();
+        e.received.clear();
+        e.received_len = 0;
+        let fin_sent = e.fin_sent;
         self.hosts[host].descriptors = self.hosts[host].descriptors.saturating_sub(1);
-        if !gone {
+        if !has_failed {
             if unread {
-                self.send(conn, end, Parcel::Reset);
-            } else if !sent_end {
-                self.send(conn, end, Parcel::End);
+                self.send(conn, end, Segment::Reset);
+            } else if !fin_sent {
+                self.send(conn, end, Segment::Fin);
             }
         }
-        self.tidy(conn);
+        self.remove_if_closed(conn);
     }
 
-    /// Forgets a connection that neither end holds and on which nothing is under way.
-    fn tidy(&mut self, conn: usize) {
+    /// Removes a connection that both ends have closed and on which nothing is in flight.
+    fn remove_if_closed(&mut self, conn: usize) {
         let c = &self.conns[conn];
         if c.ends.iter().all(|e| e.closed) && c.ends.iter().all(|e| e.inbound.is_empty()) {
             self.conns.remove(conn);
         }
     }
 
-    fn close_port(&mut self, at: SocketAddr) {
-        if let Some(port) = self.ports.remove(&at) {
-            let host = port.host;
+    fn close_listener(&mut self, at: SocketAddr) {
+        if let Some(listener) = self.listeners.remove(&at) {
+            let host = listener.host;
             self.hosts[host].descriptors = self.hosts[host].descriptors.saturating_sub(1);
-            for conn in port.waiting {
+            for conn in listener.backlog {
                 if self.conns.contains(conn) && !self.conns[conn].ends[1].closed {
                     self.conns[conn].ends[1].closed = true;
-                    self.send(conn, 1, Parcel::Reset);
+                    self.send(conn, 1, Segment::Reset);
                 }
             }
         }
     }
 
-    fn take_descriptor(&mut self, host: HostId) -> io::Result<()> {
+    fn allocate_descriptor(&mut self, host: HostId) -> io::Result<()> {
         let h = &mut self.hosts[host];
-        if h.descriptors >= h.descriptors_most {
-            return Err(io::Error::from_raw_os_error(NO_DESCRIPTORS));
+        if h.descriptors >= h.max_descriptors {
+            return Err(io::Error::from_raw_os_error(EMFILE));
         }
         h.descriptors += 1;
-        h.descriptors_peak = h.descriptors_peak.max(h.descriptors);
+        h.peak_descriptors = h.peak_descriptors.max(h.descriptors);
         Ok(())
     }
 }
 
-/// One host's way to the network.
+/// The [`Transport`] of one host.
 #[derive(Clone)]
 pub struct VNet {
-    world: Shared,
+    world: SharedWorld,
     host: HostId,
 }
 
-/// One end of a connection.
-pub struct VStream {
-    world: Shared,
+/// One end of a connection; closed when dropped.
+pub struct VirtualStream {
+    world: SharedWorld,
     conn: usize,
     end: usize,
-    /// Guards against an end that outlives its host's process: its place may be another connection's by now.
+    /// Guards against a stream that outlives its host's process: another connection may have its slot by now.
     serial: u64,
 }
 
-pub struct VListener {
-    world: Shared,
+/// A listening socket of one host; closed when dropped.
+pub struct VirtualListener {
+    world: SharedWorld,
     at: SocketAddr,
     host: HostId,
     started: Micros,
 }
 
-impl Drop for VStream {
+impl Drop for VirtualStream {
     fn drop(&mut self) {
         let mut w = self.world.borrow_mut();
         if w.conns
@@ -678,19 +724,22 @@
     }
 }
 
-impl Drop for VListener {
+impl Drop for VirtualListener {
     fn drop(&mut self) {
         let mut w = self.world.borrow_mut();
-        let mine = w.ports.get(&self.at).is_some_and(|p| p.host == self.host);
-        if mine && w.hosts[self.host].started == self.started {
-            w.close_port(self.at);
+        let is_own = w
+            .listeners
+            .get(&self.at)
+            .is_some_and(|p| p.host == self.host);
+        if is_own && w.hosts[self.host].started == self.started {
+            w.close_listener(self.at);
         }
     }
 }
 
 impl Transport for VNet {
-    type Stream = VStream;
-    type Listener = VListener;
+    type Stream = VirtualStream;
+    type Listener = VirtualListener;
 
     fn now(&self) -> Micros {
         let w = self.world.borrow();
@@ -710,23 +759,23 @@
         EPOCH + w.hosts[self.host].started + w.hosts[self.host].skew
     }
 
-    fn listen(&mut self, at: SocketAddr, token: Token) -> io::Result<VListener> {
+    fn listen(&mut self, at: SocketAddr, token: Token) -> io::Result<VirtualListener> {
         let mut w = self.world.borrow_mut();
-        if w.ports.contains_key(&at) {
+        if w.listeners.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
         }
-        w.take_descriptor(self.host)?;
-        w.ports.insert(
+        w.allocate_descriptor(self.host)?;
+        w.listeners.insert(
             at,
-            Port {
+            ListeningSocket {
                 host: self.host,
                 token,
-                waiting: VecDeque::new(),
+                backlog: VecDeque::new(),
                 notified: false,
             },
         );
         let started = w.hosts[self.host].started;
-        Ok(VListener {
+        Ok(VirtualListener {
             world: self.world.clone(),
             at,
             host: self.host,
@@ -734,31 +783,35 @@
         })
     }
 
-    fn accept(&mut self, listener: &mut VListener, token: Token) -> io::Result<VStream> {
+    fn accept(
+        &mut self,
+        listener: &mut VirtualListener,
+        token: Token,
+    ) -> io::Result<VirtualStream> {
         let mut w = self.world.borrow_mut();
-        let waits = w
-            .ports
+        let has_waiting = w
+            .listeners
             .get(&listener.at)
-            .is_some_and(|p| !p.waiting.is_empty());
-        if !waits {
-            if let Some(port) = w.ports.get_mut(&listener.at) {
-                port.notified = false;
+            .is_some_and(|p| !p.backlog.is_empty());
+        if !has_waiting {
+            if let Some(socket) = w.listeners.get_mut(&listener.at) {
+                socket.notified = false;
             }
             return Err(ErrorKind::WouldBlock.into());
         }
-        w.take_descriptor(self.host)?;
+        w.allocate_descriptor(self.host)?;
         let conn = w
-            .ports
+            .listeners
             .get_mut(&listener.at)
-            .and_then(|p| p.waiting.pop_front());
+            .and_then(|p| p.backlog.pop_front());
         let Some(conn) = conn.filter(|conn| w.conns.contains(*conn)) else {
             w.hosts[self.host].descriptors -= 1;
             return Err(ErrorKind::ConnectionAborted.into());
         };
         w.conns[conn].ends[1].token = Some(token);
         let serial = w.conns[conn].serial;
-        w.list(conn, 1);
-        Ok(VStream {
+        w.mark_ready(conn, 1);
+        Ok(VirtualStream {
             world: self.world.clone(),
             conn,
             end: 1,
@@ -766,24 +819,31 @@
         })
     }
 
-    fn connect(&mut self, to: SocketAddr, token: Token) -> io::Result<VStream> {
+    fn connect(&mut self, to: SocketAddr, token: Token) -> io::Result<VirtualStream> {
         let mut w = self.world.borrow_mut();
-        w.take_descriptor(self.host)?;
+        w.allocate_descriptor(self.host)?;
         w.serial += 1;
         let serial = w.serial;
-        // An address of no machine: this one refuses by itself.
+        // An address that belongs to no machine: the connecting host itself refuses the connection.
         let far = w.addresses.get(&to).copied().unwrap_or(self.host);
-        let mut ends = [End::new(self.host, Some(token)), End::new(far, None)];
-        if let Some((_, of, opened)) = w.shut.as_mut().filter(|(host, ..)| *host == self.host) {
+        let mut ends = [
+            ConnectionEnd::new(self.host, Some(token)),
+            ConnectionEnd::new(far, None),
+        ];
+        if let Some((_, of, opened)) = w
+            .forced_resets
+            .as_mut()
+            .filter(|(host, ..)| *host == self.host)
+        {
             *opened += 1;
-            ends[1].doomed = opened.is_multiple_of(*of);
+            ends[1].reset_on_data = opened.is_multiple_of(*of);
         }
-        let conn = w.conns.insert(Conn { serial, ends, to });
+        let conn = w.conns.insert(Connection { serial, ends, to });
         let delay = w.delay(self.host, far);
         let at = w.now + delay;
-        w.conns[conn].ends[1].last = at;
+        w.conns[conn].ends[1].last_arrival = at;
         w.push(at, Event::Syn { conn, serial });
-        Ok(VStream {
+        Ok(VirtualStream {
             world: self.world.clone(),
             conn,
             end: 0,
@@ -805,8 +865,8 @@
             });
         }
         for at in std::mem::take(&mut w.hosts[self.host].listeners_ready) {
-            if let Some(port) = w.ports.get(&at) {
-                let token = port.token;
+            if let Some(socket) = w.listeners.get(&at) {
+                let token = socket.token;
                 ready.push(ReadyEvent {
                     token,
                     readable: true,
@@ -824,16 +884,16 @@
             if e.host != self.host || e.closed {
                 continue;
             }
-            e.listed = false;
+            e.is_ready = false;
             let Some(token) = e.token else { continue };
             let failed = e.error.is_some();
-            let up = e.up;
-            let (some, ended) = (e.rx_len > 0, e.ended);
+            let is_established = e.is_established;
+            let (has_bytes, peer_ended) = (e.received_len > 0, e.peer_ended);
             ready.push(ReadyEvent {
                 token,
-                readable: some || ended || failed,
-                writable: failed || (up && w.send_capacity(conn, end) > 0),
-                read_closed: ended || failed,
+                readable: has_bytes || peer_ended || failed,
+                writable: failed || (is_established && w.send_capacity(conn, end) > 0),
+                read_closed: peer_ended || failed,
                 error: failed,
             });
         }
@@ -855,41 +915,42 @@
     }
 }
 
-impl VStream {
-    fn with<T>(&self, gone: T, call: impl FnOnce(&mut World, usize, usize) -> T) -> T {
+impl VirtualStream {
+    /// Calls a function on the connection, or returns `if_missing` if the connection no longer exists.
+    fn with<T>(&self, if_missing: T, call: impl FnOnce(&mut World, usize, usize) -> T) -> T {
         let mut w = self.world.borrow_mut();
         match w.conns.get(self.conn) {
             Some(c) if c.serial == self.serial => call(&mut w, self.conn, self.end),
-            _ => gone,
+            _ => if_missing,
         }
     }
 }
 
-impl Stream for VStream {
+impl Stream for VirtualStream {
     fn read(&mut self, into: &mut [u8]) -> io::Result<usize> {
         self.with(Err(ErrorKind::ConnectionReset.into()), |w, conn, end| {
             let e = &mut w.conns[conn].ends[end];
-            if e.rx_len == 0 {
+            if e.received_len == 0 {
                 return match e.error {
                     Some(kind) => Err(kind.into()),
-                    None if e.ended => Ok(0),
+                    None if e.peer_ended => Ok(0),
                     None => Err(ErrorKind::WouldBlock.into()),
                 };
             }
             let mut n = 0;
-            while let Some((front, _)) = e.rx.front_mut().filter(|_| n < into.len()) {
+            while let Some((front, _)) = e.received.front_mut().filter(|_| n < into.len()) {
                 let take = front.len().min(into.len() - n);
                 into[n..n + take].copy_from_slice(&front[..take]);
                 front.advance(take);
                 n += take;
                 if front.is_empty() {
-                    e.rx.pop_front();
+                    e.received.pop_front();
                 }
             }
-            e.rx_len -= n;
+            e.received_len -= n;
             let far = &mut w.conns[conn].ends[1 - end];
-            if std::mem::take(&mut far.blocked) {
-                w.list(conn, 1 - end);
+            if std::mem::take(&mut far.write_blocked) {
+                w.mark_ready(conn, 1 - end);
             }
             Ok(n)
         })
@@ -901,7 +962,7 @@
             if let Some(kind) = e.error {
                 return Err(kind.into());
             }
-            if !e.up {
+            if !e.is_established {
                 return Err(ErrorKind::NotConnected.into());
             }
             if e.fin_sent {
@@ -911,7 +972,9 @@
             let all: usize = chunks.iter().map(|c| c.len()).sum();
             let mut send_capacity = w.send_capacity(conn, end).min(all);
             let far = w.conns[conn].ends[1 - end].host;
-            let fraction = w.hosts[host].partial.min(w.hosts[far].partial);
+            let fraction = w.hosts[host]
+                .partial_writes
+                .min(w.hosts[far].partial_writes);
             if fraction > 0.0 && all > 1 {
                 if w.rng.chance(fraction / 2.0) {
                     send_capacity = 0;
@@ -925,7 +988,7 @@
                 }
             }
             if send_capacity == 0 {
-                w.conns[conn].ends[end].blocked = true;
+                w.conns[conn].ends[end].write_blocked = true;
                 return Err(ErrorKind::WouldBlock.into());
             }
             let mut bytes = Vec::with_capacity(send_capacity);
@@ -934,7 +997,7 @@
                 bytes.extend_from_slice(&chunk[..take]);
             }
             let now = w.now;
-            w.send(conn, end, Parcel::Data(bytes.into(), now));
+            w.send(conn, end, Segment::Data(bytes.into(), now));
             Ok(send_capacity)
         })
     }
@@ -942,7 +1005,7 @@
     fn has_no_input(&self) -> bool {
         self.with(false, |w, conn, end| {
             let e = &w.conns[conn].ends[end];
-            e.rx_len == 0 && !e.ended && e.error.is_none()
+            e.received_len == 0 && !e.peer_ended && e.error.is_none()
         })
     }
 
@@ -960,7 +1023,7 @@
             let e = &w.conns[conn].ends[end];
             match e.error {
                 Some(kind) => Err(kind.into()),
-                None if e.up => Ok(()),
+                None if e.is_established => Ok(()),
                 None => Err(ErrorKind::NotConnected.into()),
             }
         })
@@ -972,7 +1035,7 @@
                 return Err(ErrorKind::NotConnected.into());
             }
             if !std::mem::replace(&mut w.conns[conn].ends[end].fin_sent, true) {
-                w.send(conn, end, Parcel::End);
+                w.send(conn, end, Segment::Fin);
             }
             Ok(())
         })
@@ -982,10 +1045,10 @@
 }
 
 impl SendTimes for VNet {
-    fn send_time(&self, stream: &VStream) -> Option<Micros> {
+    fn send_time(&self, stream: &VirtualStream) -> Option<Micros> {
         stream.with(None, |w, conn, end| {
             w.conns[conn].ends[end]
-                .rx
+                .received
                 .front()
                 .map(|(_, sent)| EPOCH + sent)
         })
--- a/crates/testbed/src/virtual_fleet.rs
+++ b/crates/testbed/src/virtual_fleet.rs
@@ -1,5 +1,6 @@
-//! A whole fleet on virtual time: nodes, boxes, origin, discovery and clients on one network, a director that
-//! makes them fail, a judge that watches. The same seed and scenario give the same log, byte for byte.
+//! A whole fleet on virtual time: nodes, cache servers, origin, discovery and clients on one network, a fault
+//! scheduler that makes them fail, and a checker that observes them. The same seed and scenario give the same log,
+//! byte for byte.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -32,62 +33,67 @@
 use crate::rng::Rng;
 use crate::site::{self, ProtocolOptions};
 
-/// Descriptors of a stand-in; enough that only nodes run short.
-const MANY: usize = 100_000;
-/// How long the run goes on after the last request: the longest deadline, and what may follow it.
-const AFTER: Micros = 4_000_000;
-/// How long nodes get to end at the end of the run.
-const ENDING: Micros = 4_000_000;
+/// Limit on the descriptors of an emulator's host, so high that only nodes run out of them.
+const EMULATOR_DESCRIPTORS: usize = 100_000;
+/// How long the run continues after the last request, in microseconds: the longest deadline, and what may follow it.
+const DRAIN_TIME: Micros = 4_000_000;
+/// How long nodes may take to shut down at the end of the run, in microseconds.
+const SHUTDOWN_TIME: Micros = 4_000_000;
 
-/// Wraps the module of each node (its number given), for tests that plant defects.
+/// Wraps the decision engine of each node, given the node's number, for tests that inject defects.
 pub type Wrap = Rc<dyn Fn(usize, Balancer) -> Box<dyn DecisionEngine>>;
 
-/// What a watcher of a run is shown.
+/// An entry of a run's log.
 pub enum Shown<'a> {
+    /// An observation, as the checker receives it.
     Observation(&'a Observation),
-    /// A line that a node logged, with time and name; the judge is told nothing of it.
+    /// A line that a node logged, with time and node name; the checker does not receive it.
     Logged(&'a str),
 }
 
-/// Is shown everything, in order.
-pub type Watch = Box<dyn FnMut(Shown<'_>)>;
+/// Called with each entry of a run's log, in order.
+pub type LogObserver = Box<dyn FnMut(Shown<'_>)>;
 
-/// What is told of a run besides its breaches.
+/// The result of a run.
 pub struct Outcome {
     pub violations: Vec<Violation>,
     pub report: Report,
-    /// Of every fact and every byte that was delivered.
+    /// Digest of every observation and of what the network delivered.
     pub digest: u64,
+    /// Number of observations.
     pub observations: u64,
-    /// Virtual time played, in microseconds.
+    /// Simulated time, in microseconds.
     pub played: Micros,
-    /// Most descriptors that a node held at once.
+    /// Most descriptors that any node held at once.
     pub descriptors: usize,
-    /// Requests whose client left, and what was sent on for them later than may be.
+    /// Requests whose client disconnected, and the attempts that were sent for them later than is allowed.
     pub disconnects: DisconnectStatistics,
-    /// The most that a cold box was sent, as a part of what it bears and chance.
+    /// Highest load sent to a server that is warming up, as a fraction of what it can take with the margin for chance.
     pub max_cold_load: f64,
 }
 
-/// What a run may be told.
+/// Options of a run.
 pub struct Options {
-    pub watch: Option<Watch>,
+    /// Called with each entry of the run's log.
+    pub watch: Option<LogObserver>,
+    /// Wraps the nodes' decision engines.
     pub wrap: Option<Wrap>,
     pub delay: Delay,
     pub protocols: ProtocolOptions,
-    /// Cold boxes take whatever they are sent: the judge alone tells what would have been too much.
+    /// Cold servers never fail under overload; only the checker reports what would have been too much load.
     pub cold_servers_never_fail: bool,
     pub defect: Defect,
 }
 
-/// What is wrong with all nodes' hosts, for tests of the judge; nothing, usually.
+/// Defects of the nodes' hosts, for tests of the checker; none by default.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Defect {
-    /// So much later than they may, nodes hear that a client has closed.
+    /// Extra delay until nodes receive that a client has closed its connection, in microseconds.
     pub ends_late: Micros,
-    /// So long a process that follows another one does nothing.
+    /// How long a restarted node's process does nothing after its start, in microseconds.
     pub starts_late: Micros,
-    /// Each connection of so many that clients open is reset at its first bytes; none for 0.
+    /// Of the connections that clients open, each one whose number is a multiple of this is reset at its first bytes;
+    /// none if 0.
     pub shut_of: u64,
 }
 
@@ -144,8 +150,8 @@
     command_queue: CommandQueue<cache_server::ControlCommand>,
 }
 
-/// Everything that the director acts on.
-struct Site {
+/// The hosts of a run and all that the fault scheduler acts on.
+struct VirtualEnvironment {
     hosts: Hosts,
     scenario: Scenario,
     protocols: ProtocolOptions,
@@ -154,29 +160,35 @@
     seed: u64,
     recorder: Recorder,
     nodes: Vec<HostId>,
+    /// How many times each node was started.
     node_starts: Vec<u64>,
+    /// Whether each node has received a stop signal.
     stopping: Vec<bool>,
     servers: BTreeMap<usize, ServerHost>,
-    discovery: Vec<HostId>,
-    /// How often discovery has moved.
-    moves: usize,
+    /// Hosts that discovery has run on; the last is its current one.
+    discovery_hosts: Vec<HostId>,
+    /// How many times discovery has moved to other addresses.
+    discovery_moves: usize,
     discovery_commands: CommandQueue<discovery::ControlCommand>,
-    discovery_up: bool,
-    /// What changed while discovery told an old list; none while it tells what it has.
-    stale: Option<Vec<(usize, AnnouncedState)>>,
+    is_discovery_running: bool,
+    /// State changes since discovery began to serve a stale list; None while its list is current.
+    stale_changes: Option<Vec<(usize, AnnouncedState)>>,
     roster: Roster,
-    /// What each node held when it last ended: it starts with that.
-    lists_at_end: Vec<Option<Roster>>,
+    /// The endpoint list each node had when it last ended; its next process starts with it.
+    last_rosters: Vec<Option<Roster>>,
     origin_commands: CommandQueue<origin::ControlCommand>,
     clients_commands: CommandQueue<clients::ControlCommand>,
+    /// New rates of misbehaving clients, per second.
     misbehaving_commands: CommandQueue<f64>,
+    /// New numbers of idle clients at each node.
     idle_commands: CommandQueue<usize>,
-    origin: SocketAddr,
-    moved: Rc<RefCell<Vec<SocketAddr>>>,
+    origin_address: SocketAddr,
+    /// The address of discovery in each node's configuration.
+    configured_discovery: Rc<RefCell<Vec<SocketAddr>>>,
     wrap: Option<Wrap>,
-    clients: HostId,
-    misbehaving: HostId,
-    idle: HostId,
+    clients_host: HostId,
+    misbehaving_host: HostId,
+    idle_host: HostId,
     origin_host: HostId,
 }
 
@@ -184,12 +196,12 @@
     ([10, 0, 0, node as u8 + 1], 6379).into()
 }
 
-/// Where a node listens for the binary protocol.
+/// Where a node listens for the memcached binary protocol.
 fn memcached_address(node: usize) -> SocketAddr {
     SocketAddr::new(node_address(node).ip(), 11211)
 }
 
-fn box_address(place: usize) -> SocketAddr {
+fn server_address(place: usize) -> SocketAddr {
     ([10, 1, (place / 250) as u8, (place % 250) as u8 + 1], 6379).into()
 }
 
@@ -197,7 +209,7 @@
     ([10, 3, (moves % 250) as u8, node as u8 + 1], 8500).into()
 }
 
-impl Site {
+impl VirtualEnvironment {
     fn unix(&self) -> Micros {
         EPOCH + self.hosts.now()
     }
@@ -208,18 +220,18 @@
 
     fn run_discovery(&mut self, first_rev: i64) {
         let at: Vec<SocketAddr> = (0..self.scenario.nodes)
-            .map(|n| discovery_address(self.moves, n))
+            .map(|n| discovery_address(self.discovery_moves, n))
             .collect();
-        let host =
-            self.hosts
-                .world
-                .borrow_mut()
-                .host(&format!("discovery-{}", self.moves), 0, MANY);
+        let host = self.hosts.world.borrow_mut().host(
+            &format!("discovery-{}", self.discovery_moves),
+            0,
+            EMULATOR_DESCRIPTORS,
+        );
         for address in &at {
             self.hosts.world.borrow_mut().address(host, *address);
         }
         self.discovery_commands = CommandQueue::default();
-        let made = Discovery::new(
+        let created = Discovery::new(
             self.hosts.net(host),
             &at,
             first_rev,
@@ -227,18 +239,18 @@
             self.discovery_commands.clone(),
             self.recorder.clone(),
         );
-        if let Ok(actor) = made {
+        if let Ok(actor) = created {
             self.hosts.place(host, Box::new(actor));
         }
-        self.discovery.push(host);
-        self.discovery_up = true;
-        self.fresh();
+        self.discovery_hosts.push(host);
+        self.is_discovery_running = true;
+        self.end_stale_list();
         self.record(Event::DiscoveryReachable { reachable: true });
     }
 
-    /// Discovery tells what it has again.
-    fn fresh(&mut self) {
-        for (server, state) in self.stale.take().into_iter().flatten() {
+    /// Discovery serves its current list again; reports the changes that it held back.
+    fn end_stale_list(&mut self) {
+        for (server, state) in self.stale_changes.take().into_iter().flatten() {
             self.record(Event::DiscoveryUpdated { server, state });
         }
     }
@@ -257,23 +269,28 @@
         }
     }
 
-    /// The hosts of a run, with nothing running on them yet.
-    fn new(scenario: &Scenario, seed: u64, options: &Options, recorder: Recorder) -> Site {
+    /// Creates the hosts of a run, with nothing running on them yet.
+    fn new(
+        scenario: &Scenario,
+        seed: u64,
+        options: &Options,
+        recorder: Recorder,
+    ) -> VirtualEnvironment {
         let mut world = World::new(seed, options.delay);
-        let origin: SocketAddr = ([10, 2, 0, 1], 7000).into();
-        let origin_host = world.host("origin", 0, MANY);
-        world.address(origin_host, origin);
-        let clients = world.host("clients", 0, MANY);
-        world.delay_close_notifications(clients, options.defect.ends_late);
-        world.shut_new(clients, options.defect.shut_of);
-        let misbehaving = world.host("rude", 0, MANY);
+        let origin_address: SocketAddr = ([10, 2, 0, 1], 7000).into();
+        let origin_host = world.host("origin", 0, EMULATOR_DESCRIPTORS);
+        world.address(origin_host, origin_address);
+        let clients_host = world.host("clients", 0, EMULATOR_DESCRIPTORS);
+        world.delay_close_notifications(clients_host, options.defect.ends_late);
+        world.reset_new_connections(clients_host, options.defect.shut_of);
+        let misbehaving_host = world.host("rude", 0, EMULATOR_DESCRIPTORS);
         let nodes = node_hosts(&mut world, scenario.nodes);
-        // The last of the hosts that a run begins with: the others' numbers stay what they are.
-        let idle = world.host("idle", 0, MANY);
+        // Added last, so that the numbers of the other hosts stay the same.
+        let idle_host = world.host("idle", 0, EMULATOR_DESCRIPTORS);
         let discovery = (0..nodes.len())
             .map(|node| discovery_address(0, node))
             .collect();
-        Site {
+        VirtualEnvironment {
             hosts: Hosts::new(world),
             scenario: scenario.clone(),
             protocols: options.protocols,
@@ -283,37 +300,37 @@
             recorder,
             node_starts: vec![0; nodes.len()],
             stopping: vec![false; nodes.len()],
-            moved: Rc::new(RefCell::new(discovery)),
+            configured_discovery: Rc::new(RefCell::new(discovery)),
             nodes,
             servers: BTreeMap::new(),
-            discovery: Vec::new(),
-            moves: 0,
+            discovery_hosts: Vec::new(),
+            discovery_moves: 0,
             discovery_commands: CommandQueue::default(),
-            discovery_up: false,
-            stale: None,
+            is_discovery_running: false,
+            stale_changes: None,
             roster: Roster {
                 rev: 40,
                 list: Vec::new(),
             },
-            lists_at_end: vec![None; scenario.nodes],
+            last_rosters: vec![None; scenario.nodes],
             origin_commands: CommandQueue::default(),
             clients_commands: CommandQueue::default(),
             misbehaving_commands: CommandQueue::default(),
             idle_commands: CommandQueue::default(),
-            origin,
+            origin_address,
             wrap: options.wrap.clone(),
-            clients,
-            misbehaving,
-            idle,
+            clients_host,
+            misbehaving_host,
+            idle_host,
             origin_host,
         }
     }
 
     fn start_origin(&mut self) {
-        let set = site::origin(self.origin, self.seed, &self.scenario);
+        let settings = site::origin(self.origin_address, self.seed, &self.scenario);
         if let Ok(actor) = Origin::new(
             self.hosts.net(self.origin_host),
-            set,
+            settings,
             self.origin_commands.clone(),
             self.recorder.clone(),
         ) {
@@ -321,7 +338,7 @@
         }
     }
 
-    /// Starts well-behaved, idle and misbehaving clients; the first send requests until this time.
+    /// Starts the well-behaved, idle and misbehaving clients; the well-behaved ones send requests until this time.
     fn start_clients(&mut self, until: Micros) {
         let addresses: Vec<SocketAddr> = (0..self.scenario.nodes).map(node_address).collect();
         let memcached: Vec<SocketAddr> = match self.protocols.clients {
@@ -330,7 +347,7 @@
             }
             _ => Vec::new(),
         };
-        let set = site::clients(
+        let settings = site::clients(
             addresses.clone(),
             memcached.clone(),
             self.protocols,
@@ -339,20 +356,20 @@
             until,
         );
         let client_pool = ClientPool::new(
-            self.hosts.net(self.clients),
-            set,
+            self.hosts.net(self.clients_host),
+            settings,
             self.clients_commands.clone(),
             self.recorder.clone(),
         );
-        self.hosts.place(self.clients, Box::new(client_pool));
+        self.hosts.place(self.clients_host, Box::new(client_pool));
         let idle_actor = Idle::new(
-            self.hosts.net(self.idle),
+            self.hosts.net(self.idle_host),
             addresses.clone(),
             self.idle_commands.clone(),
         );
-        self.hosts.place(self.idle, Box::new(idle_actor));
+        self.hosts.place(self.idle_host, Box::new(idle_actor));
         let misbehaving_actor = MisbehavingClients::new(
-            self.hosts.net(self.misbehaving),
+            self.hosts.net(self.misbehaving_host),
             addresses,
             memcached,
             self.seed,
@@ -360,11 +377,11 @@
             self.recorder.clone(),
         );
         self.hosts
-            .place(self.misbehaving, Box::new(misbehaving_actor));
+            .place(self.misbehaving_host, Box::new(misbehaving_actor));
     }
 }
 
-/// A host for each node, in both zones in turn, with the addresses of its listeners.
+/// Adds a host for each node, in the two zones alternately, with the addresses of its listeners.
 fn node_hosts(world: &mut World, count: usize) -> Vec<HostId> {
     (0..count)
         .map(|n| {
@@ -376,30 +393,36 @@
         .collect()
 }
 
-impl FaultEnvironment for Site {
+impl FaultEnvironment for VirtualEnvironment {
     fn start_server(&mut self, number: usize, place: usize, zone: usize, cold: bool) {
-        let at = box_address(place);
-        let host = self
-            .hosts
-            .world
-            .borrow_mut()
-            .host(&format!("box-{number}"), zone, MANY);
+        let at = server_address(place);
+        let host = self.hosts.world.borrow_mut().host(
+            &format!("box-{number}"),
+            zone,
+            EMULATOR_DESCRIPTORS,
+        );
         self.hosts.world.borrow_mut().address(host, at);
         let memcached = self.protocols.server_uses_memcached(number, &self.scenario);
-        let mut set =
-            site::cache_server_settings(number, at, self.origin, cold, memcached, self.seed);
+        let mut settings = site::cache_server_settings(
+            number,
+            at,
+            self.origin_address,
+            cold,
+            memcached,
+            self.seed,
+        );
         if self.cold_servers_never_fail {
-            set.fall_multiple = 0.0;
+            settings.fall_multiple = 0.0;
         }
         let command_queue = CommandQueue::default();
         match CacheServer::new(
             self.hosts.net(host),
-            set,
+            settings,
             command_queue.clone(),
             self.recorder.clone(),
         ) {
             Ok(actor) => self.hosts.place(host, Box::new(actor)),
-            Err(e) => self.log(format!("box {number} does not start: {e}")),
+            Err(e) => self.log(format!("cache server {number} does not start: {e}")),
         }
         self.servers.insert(
             number,
@@ -411,7 +434,7 @@
     }
 
     fn kill_server(&mut self, number: usize) {
-        let Some(host) = self.servers.get(&number).map(|b| b.host) else {
+        let Some(host) = self.servers.get(&number).map(|s| s.host) else {
             return;
         };
         self.hosts.come_back(host);
@@ -423,7 +446,7 @@
         if let Some((host, command_queue)) = self
             .servers
             .get(&number)
-            .map(|b| (b.host, b.command_queue.clone()))
+            .map(|s| (s.host, s.command_queue.clone()))
         {
             command_queue.push(command);
             self.hosts.wake(host);
@@ -432,7 +455,7 @@
 
     fn listed(&self, number: usize, place: usize, zone: usize, state: AnnouncedState) -> Listed {
         let state = match state {
-            // Boots are told in Unix time; 0 stands for long ago.
+            // Start times are announced in Unix time; 0 means that the server was running long before the run.
             AnnouncedState::InService { boot } if boot > 0 => {
                 AnnouncedState::InService { boot: EPOCH + boot }
             }
@@ -441,7 +464,7 @@
         Listed {
             number,
             uid: format!("s-{number:04}"),
-            endpoint: box_address(place),
+            endpoint: server_address(place),
             zone: site::ZONES[zone % 2].to_string(),
             kind: self.protocols.model(number, &self.scenario).to_string(),
             state,
@@ -451,7 +474,7 @@
     fn command_discovery(&mut self, command: discovery::ControlCommand) {
         if let discovery::ControlCommand::Change(listed) = &command {
             self.roster.change(listed);
-            match &mut self.stale {
+            match &mut self.stale_changes {
                 Some(changed) => changed.push((listed.number, listed.state)),
                 None => self.record(Event::DiscoveryUpdated {
                     server: listed.number,
@@ -459,17 +482,19 @@
                 }),
             }
         }
-        if self.discovery_up {
+        if self.is_discovery_running {
             match &command {
                 discovery::ControlCommand::Fail(fail) => {
                     self.record(Event::DiscoveryReachable { reachable: !fail });
                 }
-                discovery::ControlCommand::Stale(true) => drop(self.stale.get_or_insert_default()),
-                discovery::ControlCommand::Stale(false) => self.fresh(),
+                discovery::ControlCommand::Stale(true) => {
+                    self.stale_changes.get_or_insert_default();
+                }
+                discovery::ControlCommand::Stale(false) => self.end_stale_list(),
                 _ => {}
             }
             self.discovery_commands.push(command);
-            if let Some(host) = self.discovery.last().copied() {
+            if let Some(host) = self.discovery_hosts.last().copied() {
                 self.hosts.wake(host);
             }
         }
@@ -482,24 +507,24 @@
 
     fn command_clients(&mut self, command: clients::ControlCommand) {
         self.clients_commands.push(command);
-        self.hosts.wake(self.clients);
+        self.hosts.wake(self.clients_host);
     }
 
     fn set_misbehaving_client_rate(&mut self, rate: f64) {
         self.misbehaving_commands.push(rate);
-        self.hosts.wake(self.misbehaving);
+        self.hosts.wake(self.misbehaving_host);
     }
 
     fn kill_node(&mut self, node: usize) {
         if self.hosts.has(self.nodes[node]) {
-            self.lists_at_end[node] = Some(self.roster.clone());
+            self.last_rosters[node] = Some(self.roster.clone());
             self.record(Event::NodeEnded { node, killed: true });
             self.hosts.end(self.nodes[node]);
         }
     }
 
     fn stop_node(&mut self, node: usize) {
-        self.lists_at_end[node] = Some(self.roster.clone());
+        self.last_rosters[node] = Some(self.roster.clone());
         self.record(Event::NodeStopping { node });
         self.stopping[node] = true;
         self.hosts.world.borrow_mut().signal(
@@ -522,10 +547,10 @@
             "node",
             node * 1000 + self.node_starts[node] as usize,
         );
-        let known = self.lists_at_end[node]
+        let known = self.last_rosters[node]
             .take()
             .unwrap_or_else(|| self.roster.clone());
-        let at = discovery_address(self.moves, node);
+        let at = discovery_address(self.discovery_moves, node);
         let text = site::node_config(
             node,
             &self.scenario,
@@ -534,11 +559,11 @@
             rng.next_u64(),
             (known.rev, &known.list),
         );
-        self.moved.borrow_mut()[node] = at;
-        let (moved, text2) = (self.moved.clone(), text.clone());
+        self.configured_discovery.borrow_mut()[node] = at;
+        let (addresses, source_text) = (self.configured_discovery.clone(), text.clone());
         let source = Box::new(move || {
-            config::parse(&text2).map(|mut config| {
-                config.discovery = moved.borrow()[node];
+            config::parse(&source_text).map(|mut config| {
+                config.discovery = addresses.borrow()[node];
                 config
             })
         });
@@ -546,16 +571,16 @@
         self.report_known_servers(node, &known.list);
         let mut config = match config::parse(&text) {
             Ok(config) => config,
-            Err(bad) => return self.log(format!("node {node}: {bad}")),
+            Err(e) => return self.log(format!("node {node}: invalid configuration: {e}")),
         };
         if let Err(why) = self
             .protocols
             .configure(&mut config, memcached_address(node))
         {
-            return self.log(format!("node {node}: {why}"));
+            return self.log(format!("node {node}: memcached configuration: {why}"));
         }
         let wrap = self.wrap.clone();
-        let made: Result<Box<dyn Actor>, _> = match wrap {
+        let created: Result<Box<dyn Actor>, _> = match wrap {
             Some(wrap) => Node::with_engine(config, self.hosts.net(host), source, |balancer| {
                 BoxedEngine(wrap(node, balancer))
             })
@@ -563,9 +588,10 @@
             None => Node::new(config, self.hosts.net(host), source)
                 .map(|n| Box::new(n) as Box<dyn Actor>),
         };
-        match made {
+        match created {
             Ok(actor) if self.node_starts[node] > 1 => {
-                self.hosts.place_late(host, actor, self.defect.starts_late);
+                self.hosts
+                    .place_delayed(host, actor, self.defect.starts_late);
             }
             Ok(actor) => self.hosts.place(host, actor),
             Err(e) => self.log(format!("node {node} does not start: {e}")),
@@ -573,18 +599,19 @@
     }
 
     fn move_discovery(&mut self) {
-        if !self.discovery_up {
+        if !self.is_discovery_running {
             return;
         }
         self.discovery_commands
             .push(discovery::ControlCommand::Retire(1_500_000));
-        if let Some(old) = self.discovery.last().copied() {
+        if let Some(old) = self.discovery_hosts.last().copied() {
             self.hosts.wake(old);
         }
-        self.moves += 1;
+        self.discovery_moves += 1;
         self.run_discovery(self.roster.rev);
         for node in 0..self.scenario.nodes {
-            self.moved.borrow_mut()[node] = discovery_address(self.moves, node);
+            self.configured_discovery.borrow_mut()[node] =
+                discovery_address(self.discovery_moves, node);
             if self.hosts.has(self.nodes[node]) {
                 self.hosts.world.borrow_mut().signal(
                     self.nodes[node],
@@ -598,16 +625,16 @@
     }
 
     fn kill_discovery(&mut self) {
-        self.discovery_up = false;
-        self.fresh();
+        self.is_discovery_running = false;
+        self.end_stale_list();
         self.record(Event::DiscoveryReachable { reachable: false });
-        if let Some(host) = self.discovery.last().copied() {
+        if let Some(host) = self.discovery_hosts.last().copied() {
             self.hosts.end(host);
         }
     }
 
     fn start_discovery(&mut self, list: Vec<Listed>, anew: bool) {
-        if self.discovery_up {
+        if self.is_discovery_running {
             return;
         }
         self.roster.restart(list, anew);
@@ -629,14 +656,14 @@
     }
 
     fn isolate_server(&mut self, number: usize) {
-        let Some(host) = self.servers.get(&number).map(|b| b.host) else {
+        let Some(host) = self.servers.get(&number).map(|s| s.host) else {
             return;
         };
         self.hosts.isolate(host);
     }
 
     fn cut_link(&mut self, number: usize, from_server: bool, cut: bool) {
-        let Some(host) = self.servers.get(&number).map(|b| b.host) else {
+        let Some(host) = self.servers.get(&number).map(|s| s.host) else {
             return;
         };
         for node in self.nodes.clone() {
@@ -650,7 +677,7 @@
     }
 
     fn reset_connections(&mut self, fraction: f64) {
-        let servers: Vec<HostId> = self.servers.values().map(|b| b.host).collect();
+        let servers: Vec<HostId> = self.servers.values().map(|s| s.host).collect();
         self.hosts
             .world
             .borrow_mut()
@@ -658,13 +685,13 @@
     }
 
     fn set_refuses_connections(&mut self, number: usize, refuses: bool) {
-        if let Some(host) = self.servers.get(&number).map(|b| b.host) {
+        if let Some(host) = self.servers.get(&number).map(|s| s.host) {
             self.hosts.world.borrow_mut().set_refuses(host, refuses);
         }
     }
 
     fn set_partial_writes(&mut self, fraction: f64) {
-        let mut hosts: Vec<HostId> = self.servers.values().map(|b| b.host).collect();
+        let mut hosts: Vec<HostId> = self.servers.values().map(|s| s.host).collect();
         hosts.extend(&self.nodes);
         for host in hosts {
             self.hosts.world.borrow_mut().set_partial(host, fraction);
@@ -673,7 +700,7 @@
 
     fn set_idle_clients(&mut self, count: usize) {
         self.idle_commands.push(count);
-        self.hosts.wake(self.idle);
+        self.hosts.wake(self.idle_host);
     }
 
     fn skew_clock(&mut self, node: usize, by: Micros) {
@@ -683,86 +710,89 @@
 
 /// A run in progress.
 pub struct Fleet {
-    site: Site,
+    environment: VirtualEnvironment,
     scheduler: FaultScheduler,
     pub checker: Checker,
     pub report: Report,
     observations: Receiver<Observation>,
     names: RequestNames,
-    seen: u64,
+    observation_count: u64,
     digest: u64,
-    watch: Option<Watch>,
+    watch: Option<LogObserver>,
     until: Micros,
-    /// The schedule is over: nothing is started any more.
-    ending: bool,
+    /// Nodes are shutting down: the fault scheduler does nothing any more.
+    shutting_down: bool,
 }
 
 impl Fleet {
-    /// A fleet that plays this scenario; everything that is random follows from the seed.
+    /// Creates a fleet that plays this scenario; all random draws follow from the seed.
     pub fn new(scenario: &Scenario, seed: u64, options: Options) -> Fleet {
         let (send, observations) = channel();
         let recorder = Recorder::new(send, EPOCH);
         let until = (scenario.seconds * 1e6) as Micros;
-        let mut site = Site::new(scenario, seed, &options, recorder);
-        site.start_origin();
+        let mut environment = VirtualEnvironment::new(scenario, seed, &options, recorder);
+        environment.start_origin();
         let mut scheduler = FaultScheduler::new(scenario, seed);
-        scheduler.start_all(&mut site);
-        site.start_clients(until);
+        scheduler.start_all(&mut environment);
+        environment.start_clients(until);
         Fleet {
-            site,
+            environment,
             scheduler,
-            checker: Checker::new(site::requirements(options.delay.most())),
+            checker: Checker::new(site::requirements(options.delay.max_one_way())),
             report: site::report(),
             observations,
             names: RequestNames::default(),
-            seen: 0,
+            observation_count: 0,
             digest: 0xcbf2_9ce4_8422_2325,
             watch: options.watch,
             until,
-            ending: false,
+            shutting_down: false,
         }
     }
 
-    /// Plays to this time.
+    /// Advances the run to virtual time `end`.
     pub fn play_to(&mut self, end: Micros) {
         loop {
-            self.settle();
-            let mut next = self.site.hosts.next();
-            if !self.ending {
+            self.process_observations();
+            let mut next = self.environment.hosts.next_event_time();
+            if !self.shutting_down {
                 next = next
                     .min(self.scheduler.next().unwrap_or(Micros::MAX))
-                    .max(self.site.hosts.now());
+                    .max(self.environment.hosts.now());
             }
             if next > end {
                 break;
             }
-            if !self.ending {
-                self.site.hosts.world.borrow_mut().advance(next);
-                self.scheduler.run(next, &mut self.site);
+            if !self.shutting_down {
+                self.environment.hosts.world.borrow_mut().advance(next);
+                self.scheduler.run(next, &mut self.environment);
             }
-            for host in self.site.hosts.advance(next) {
-                self.ended(host);
+            for host in self.environment.hosts.advance(next) {
+                self.handle_process_end(host);
             }
         }
-        self.site.hosts.world.borrow_mut().advance(end);
-        self.settle();
+        self.environment.hosts.world.borrow_mut().advance(end);
+        self.process_observations();
     }
 
-    /// A host's process has ended by itself.
-    fn ended(&mut self, host: HostId) {
-        if let Some(node) = self.site.nodes.iter().position(|h| *h == host) {
-            self.site.record(Event::NodeEnded {
+    /// Records that a node's process has ended by itself. It is a violation unless the node was stopping.
+    fn handle_process_end(&mut self, host: HostId) {
+        if let Some(node) = self.environment.nodes.iter().position(|h| *h == host) {
+            self.environment.record(Event::NodeEnded {
                 node,
                 killed: false,
             });
-            if !self.site.stopping[node] {
-                self.found(Rule::NoRequestLost, format!("node {node} ended unasked"));
+            if !self.environment.stopping[node] {
+                self.add_violation(
+                    Rule::NoRequestLost,
+                    format!("node {node} ended without a stop signal"),
+                );
             }
         }
     }
 
-    fn found(&mut self, rule: Rule, why: String) {
-        let at = self.site.hosts.world.borrow().now;
+    fn add_violation(&mut self, rule: Rule, why: String) {
+        let at = self.environment.hosts.world.borrow().now;
         self.checker.add(Violation {
             rule,
             at,
@@ -772,10 +802,10 @@
         });
     }
 
-    /// Takes up what the peers saw, and shows what the nodes logged.
-    fn settle(&mut self) {
-        for host in self.site.nodes.clone() {
-            let lines = self.site.hosts.world.borrow_mut().take_log(host);
+    /// Passes the pending observations to the checker and the report, and observations and node logs to the watcher.
+    fn process_observations(&mut self) {
+        for host in self.environment.nodes.clone() {
+            let lines = self.environment.hosts.world.borrow_mut().take_log(host);
             if let Some(watch) = &mut self.watch {
                 for line in &lines {
                     watch(Shown::Logged(line));
@@ -783,7 +813,7 @@
             }
         }
         while let Ok(observation) = self.observations.try_recv() {
-            self.seen += 1;
+            self.observation_count += 1;
             let observation = self.names.resolve(observation);
             self.checker.observe(&observation);
             self.report.observe(&observation);
@@ -797,51 +827,51 @@
         }
     }
 
-    /// Plays the whole scenario and the planned end of all nodes.
+    /// Plays the whole scenario and then the graceful shutdown of all nodes.
     pub fn run(mut self) -> Outcome {
-        self.play_to(self.until + AFTER);
-        self.ending = true;
-        let now = self.site.hosts.world.borrow().now;
-        for node in 0..self.site.nodes.len() {
+        self.play_to(self.until + DRAIN_TIME);
+        self.shutting_down = true;
+        let now = self.environment.hosts.world.borrow().now;
+        for node in 0..self.environment.nodes.len() {
             if self.checker.is_paused(node) {
-                self.site.resume_node(node);
+                self.environment.resume_node(node);
             }
-            if self.site.hosts.has(self.site.nodes[node]) {
-                self.site.stop_node(node);
+            if self.environment.hosts.has(self.environment.nodes[node]) {
+                self.environment.stop_node(node);
             }
         }
-        self.play_to(now + ENDING);
-        let now = self.site.hosts.world.borrow().now;
+        self.play_to(now + SHUTDOWN_TIME);
+        let now = self.environment.hosts.world.borrow().now;
         self.checker.finish(now);
         let mut descriptors = 0;
-        for node in 0..self.site.nodes.len() {
-            let host = self.site.nodes[node];
-            let (open, peak, most) = self.site.hosts.world.borrow().descriptors(host);
+        for node in 0..self.environment.nodes.len() {
+            let host = self.environment.nodes[node];
+            let (open, peak, most) = self.environment.hosts.world.borrow().descriptors(host);
             descriptors = descriptors.max(peak);
-            if self.site.hosts.has(host) {
-                self.found(
+            if self.environment.hosts.has(host) {
+                self.add_violation(
                     Rule::ProtocolAndLifecycle,
-                    format!("node {node} was told to end and has not"),
+                    format!("node {node} has not ended after its stop signal"),
                 );
             } else if open > 0 {
-                self.found(
+                self.add_violation(
                     Rule::ProtocolAndLifecycle,
                     format!("node {node} left {open} descriptors open"),
                 );
             }
             if peak > most {
-                self.found(
+                self.add_violation(
                     Rule::ProtocolAndLifecycle,
                     format!("node {node} held {peak} of {most} descriptors"),
                 );
             }
         }
-        let wire = self.site.hosts.world.borrow().digest();
+        let wire = self.environment.hosts.world.borrow().digest();
         Outcome {
             violations: std::mem::take(&mut self.checker.violations),
             report: self.report,
             digest: self.digest ^ wire.rotate_left(17),
-            observations: self.seen,
+            observations: self.observation_count,
             played: now,
             descriptors,
             disconnects: self.checker.statistics().disconnects,
@@ -855,8 +885,8 @@
     Fleet::new(scenario, seed, options).run()
 }
 
-/// The shortest schedule found that still breaks the rule: faults are left out one by one, then the run is cut
-/// short, as long as the same rule breaks under the same seed.
+/// Reduces a scenario that violates a rule: removes faults one by one, then shortens the run, as long as the same rule
+/// is still violated with the same seed. Returns the shortest schedule found.
 pub fn shrink(
     scenario: &Scenario,
     seed: u64,
@@ -864,7 +894,7 @@
     wrap: Option<&Wrap>,
     protocols: ProtocolOptions,
 ) -> Scenario {
-    let first = |s: &Scenario| {
+    let first_violation = |s: &Scenario| {
         let options = Options {
             wrap: wrap.cloned(),
             protocols,
@@ -874,26 +904,26 @@
         outcome
             .violations
             .iter()
-            .find(|b| b.rule == rule)
-            .map(|b| b.at)
+            .find(|v| v.rule == rule)
+            .map(|v| v.at)
     };
     let mut best = scenario.clone();
     let mut i = 0;
     while i < best.faults.len() {
-        let mut less = best.clone();
-        less.faults.remove(i);
-        if first(&less).is_some() {
-            best = less;
+        let mut candidate = best.clone();
+        candidate.faults.remove(i);
+        if first_violation(&candidate).is_some() {
+            best = candidate;
         } else {
             i += 1;
         }
     }
-    if let Some(at) = first(&best) {
-        let mut less = best.clone();
-        less.seconds = (at as f64 / 1e6).ceil().clamp(1.0, best.seconds);
-        less.faults.retain(|f| f.at < less.seconds);
-        if first(&less).is_some() {
-            best = less;
+    if let Some(at) = first_violation(&best) {
+        let mut candidate = best.clone();
+        candidate.seconds = (at as f64 / 1e6).ceil().clamp(1.0, best.seconds);
+        candidate.faults.retain(|f| f.at < candidate.seconds);
+        if first_violation(&candidate).is_some() {
+            best = candidate;
         }
     }
     best
