--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! A scenario on real sockets, watched as it goes on: a fleet, its faults and the checker.
+//! A scenario on real sockets in real time: a fleet, its fault scheduler and the checker that observes it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,27 +17,27 @@
 use crate::report::Report;
 use crate::site::{self, ProtocolOptions};
 
-/// How long nodes have to end when the run is over: the longest deadline and a second more.
-const ENDING: Duration = Duration::from_millis(site::MAX_DEADLINE as u64 / 1000 + 1000);
+/// How long nodes may take to shut down when the run is over: the longest deadline and one second.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(site::MAX_DEADLINE as u64 / 1000 + 1000);
 
-/// A fleet that runs.
+/// A running fleet, its checker and its report.
 pub struct Demo {
     fleet: RealFleet,
     scheduler: FaultScheduler,
     pub checker: Checker,
     pub report: Report,
     names: RequestNames,
-    /// Nodes listen for the binary protocol.
+    /// Whether nodes also listen for the memcached binary protocol.
     pub memcached: bool,
     observations: Receiver<Observation>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Demo {
-    /// Starts everything; clients begin to ask once nodes answer.
+    /// Starts the fleet. Clients begin to send requests once nodes answer.
     ///
     /// # Errors
-    /// No addresses, threads or descriptors are to be had.
+    /// There are not enough free addresses, threads or descriptors, or a process can't be started.
     pub fn start(
         scenario: &Scenario,
         seed: u64,
@@ -56,43 +56,43 @@
         }
         fleet.start_clients()?;
         fleet.start_misbehaving_clients()?;
-        let front = fleet.serves_memcached();
+        let memcached = fleet.serves_memcached();
         Ok(Demo {
             fleet,
             scheduler,
             checker: Checker::new(site::requirements(MAX_THREAD_DELAY)),
             report: site::report(),
             names: RequestNames::default(),
-            memcached: front,
+            memcached,
             observations,
-            began: Instant::now(),
+            started_at: Instant::now(),
         })
     }
 
-    /// Time since it began, in microseconds.
+    /// Time since the start, in microseconds.
     pub fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Goes on for this long; what the director did meanwhile.
+    /// Runs for this long. Returns the announcements of the fault scheduler during that time.
     pub fn go_on(&mut self, time: Duration) -> Vec<String> {
         let until = Instant::now() + time;
         while Instant::now() < until {
             let now = self.now();
             self.scheduler.run(now, &mut self.fleet);
-            self.look_for_ends(now);
+            self.record_ended_processes(now);
             match self.observations.recv_timeout(Duration::from_millis(5)) {
-                Ok(observation) => self.see(observation),
+                Ok(observation) => self.observe(observation),
                 Err(_) => continue,
             }
             while let Ok(observation) = self.observations.try_recv() {
-                self.see(observation);
+                self.observe(observation);
             }
         }
         self.fleet.take_announcements()
     }
 
-    /// Where the nodes listen for RESP2 and for the binary protocol.
+    /// The nodes' addresses, for RESP2 and for the memcached binary protocol.
     pub fn listening(&self) -> Vec<(SocketAddr, SocketAddr)> {
         self.fleet
             .nodes
@@ -101,14 +101,15 @@
             .collect()
     }
 
-    fn see(&mut self, observation: Observation) {
+    fn observe(&mut self, observation: Observation) {
         let observation = self.names.resolve(observation);
         self.checker.observe(&observation);
         self.report.observe(&observation);
     }
 
-    /// A process that has ended by itself is a request lost to all that it held.
-    fn look_for_ends(&mut self, now: Micros) {
+    /// Records the processes that have ended by themselves. If one was not told to end or ended with an error, it
+    /// violates the rule against lost requests, since all requests that it held are lost.
+    fn record_ended_processes(&mut self, now: Micros) {
         for (node, n) in self.fleet.nodes.iter_mut().enumerate() {
             let Some(RunningNode::Process(process)) = &mut n.served else {
                 continue;
@@ -116,10 +117,10 @@
             let Some(status) = process.ended() else {
                 continue;
             };
-            let words = process.last_words();
+            let log_tail = process.log_tail();
             n.served = None;
             if !n.stopping || !status.success() {
-                let why = format!("node {node} ended unasked or badly ({status}): {words}");
+                let why = format!("node {node} ended unexpectedly ({status}): {log_tail}");
                 self.checker.add(Violation {
                     rule: Rule::NoRequestLost,
                     at: now,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Ends everything; whatever is still owed then counts.
+    /// Shuts down the fleet. Requests that are still unanswered at the end are violations.
     pub fn end(mut self) -> (Checker, Report) {
         for node in 0..self.fleet.nodes.len() {
             if matches!(self.fleet.nodes[node].served, Some(RunningNode::Process(_))) {
@@ -148,17 +149,23 @@
                 self.fleet.stop_node(node);
             }
         }
-        let until = Instant::now() + ENDING;
-        let runs = |n: &NodeSlot| matches!(n.served, Some(RunningNode::Process(_)));
-        while self.fleet.nodes.iter().any(runs) && Instant::now() < until {
-            self.look_for_ends(self.now());
+        let until = Instant::now() + SHUTDOWN_TIMEOUT;
+        let is_running = |n: &NodeSlot| matches!(n.served, Some(RunningNode::Process(_)));
+        while self.fleet.nodes.iter().any(is_running) && Instant::now() < until {
+            self.record_ended_processes(self.now());
             while let Ok(observation) = self.observations.recv_timeout(Duration::from_millis(5)) {
-                self.see(observation);
+                self.observe(observation);
             }
         }
         let now = self.now();
-        for (node, _) in self.fleet.nodes.iter().enumerate().filter(|(_, n)| runs(n)) {
-            let why = format!("node {node} was told to end and has not");
+        for (node, _) in self
+            .fleet
+            .nodes
+            .iter()
+            .enumerate()
+            .filter(|(_, n)| is_running(n))
+        {
+            let why = format!("node {node} has not ended after its stop signal");
             self.checker.add(Violation {
                 rule: Rule::ProtocolAndLifecycle,
                 at: now,
--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins share: connections with their bytes in and out, listeners and timers over a [`Transport`].
+//! Input and output that all emulators share: buffered connections, listeners and timers over a [`Transport`].
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -12,20 +12,23 @@
     fill, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue,
 };
 
-/// Bytes of one connection that may wait to be taken up; what sends more without end is closed.
-const UNREAD_MOST: usize = 8 << 20;
-const READ_MOST: usize = 64 << 10;
-const FIRST_CONN: usize = 64;
+/// Most received bytes of one connection that may wait to be processed; a peer that exceeds it is treated as one
+/// that has ended its sending.
+const MAX_UNPROCESSED: usize = 8 << 20;
+/// Size of the buffer for one read, in bytes.
+const READ_BUFFER_SIZE: usize = 64 << 10;
+/// Token of connection 0. Tokens 0 to 3 belong to the transport, those from 4 to this one are listeners.
+const FIRST_CONNECTION_TOKEN: usize = 64;
 
-/// Something that lives on a host: a stand-in or a node.
+/// A process on a host: an emulator or a node.
 pub trait Actor {
-    /// Waits at most so long for news and takes it up.
+    /// Waits for events for at most `wait` microseconds and handles them.
     ///
     /// # Errors
-    /// The system cannot be asked what happens.
+    /// Polling the transport fails.
     fn turn(&mut self, wait: Micros) -> io::Result<()>;
-    /// Does all that can be done without news; until when there is nothing to do, on this host's clock.
-    /// None: it has ended.
+    /// Does all work that needs no event. Returns the time, on this host's clock, until which there is nothing else
+    /// to do, or None if the process has ended.
     fn prepare(&mut self) -> Option<Micros>;
 }
 
@@ -39,9 +42,9 @@
     }
 }
 
-/// A net that may know when bytes left their sender.
+/// A transport that may know when received bytes were sent.
 pub trait SendTimes: Transport {
-    /// Unix time at which the next bytes of a connection were sent; none where nobody can tell.
+    /// Unix time in microseconds at which the next unread bytes of a connection were sent; None if unknown.
     fn send_time(&self, _stream: &Self::Stream) -> Option<Micros> {
         None
     }
@@ -49,49 +52,54 @@
 
 impl SendTimes for sloewick_node::mio_transport::MioTransport {}
 
-/// What came on a connection.
+/// An event of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ConnectionEvent {
-    /// Accepted on the listener of this number.
+    /// The connection was accepted by the listener with this number.
     Accepted(usize),
-    /// A connection that was asked for is up.
+    /// An outgoing connection is established.
     Connected,
-    /// There is more in `buf`.
+    /// Bytes were added to `buf`.
     Received,
-    /// The peer has ended its sending; what it sent before has been told.
+    /// The peer has ended its sending. All that it sent before was reported by earlier events.
     ReadClosed,
-    /// It could not be opened, or it broke. It is gone.
+    /// The connection could not be opened (`refused` if the peer refused it), or it broke. It is closed.
     Failed { refused: bool },
 }
 
-/// A connection.
+/// A connection with its buffers.
 pub struct Connection<S> {
     stream: S,
+    /// Distinguishes connections that use the same number one after another.
     pub serial: u64,
+    /// Received bytes that were not processed yet.
     pub buf: BytesMut,
     out: WriteQueue,
     connecting: bool,
-    ended: bool,
-    /// End it when all is written.
-    closing: bool,
-    /// It came by a listener, and is cut when those are.
+    /// Nothing more is read: the peer has ended its sending, or the connection broke.
+    read_ended: bool,
+    /// The connection is closed once everything is written.
+    close_when_flushed: bool,
+    /// A listener accepted the connection; cuts apply to it.
     accepted: bool,
-    /// When the first byte of what is in `buf` came, in Unix time; where the net can tell, when it was sent.
+    /// Unix time in microseconds at which the first byte in `buf` was sent, or was received if the transport does
+    /// not know when it was sent.
     pub since: Micros,
 }
 
-/// Which ways between this stand-in and whoever connects to it are cut. Where the network cannot do it (loopback), the
-/// stand-in does: bytes stay where they are, connections stay open. What still differs from a cut line is that new
-/// connections come up, since the system answers for a listener.
+/// The cut directions between this emulator and the peers that connect to it. The emulator imitates the cut where the
+/// network cannot cut a link (loopback): bytes of the cut direction stay unread or unsent, and connections stay open.
+/// Unlike with a cut link, new connections are still established, since the operating system completes the handshake
+/// for a listener.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
-    /// Nothing that is sent here arrives.
+    /// Nothing that peers send arrives here.
     pub inwards: bool,
-    /// Nothing that is sent from here arrives.
+    /// Nothing that is sent from here arrives at peers.
     pub outwards: bool,
 }
 
-/// Connections, listeners and timers of one stand-in.
+/// Connections, listeners and timers of one emulator; `D` is what its timers carry.
 pub struct Port<N: SendTimes, D: Ord> {
     pub net: N,
     listeners: Vec<Option<N::Listener>>,
@@ -100,11 +108,12 @@
     ready: Vec<ReadyEvent>,
     scratch: Vec<u8>,
     timers: BinaryHeap<Reverse<(Micros, u64, D)>>,
-    set: u64,
-    /// Broken or done: closed before the next round, when what they brought has been looked at.
-    closes: Vec<(usize, u64)>,
+    timers_set: u64,
+    /// Connections that are broken or finished, by number and serial. They are closed at the next poll, after their
+    /// last bytes were processed.
+    pending_closes: Vec<(usize, u64)>,
     cut: Cut,
-    /// News of cut connections and listeners, told when the way is whole again; one for each at the most.
+    /// Readiness of cut connections and listeners, merged into one event for each; reported once the cut heals.
     deferred_events: BTreeMap<Token, ReadyEvent>,
 }
 
@@ -116,31 +125,33 @@
             connections: Slab::new(),
             serial: 0,
             ready: Vec::new(),
-            scratch: vec![0; READ_MOST],
+            scratch: vec![0; READ_BUFFER_SIZE],
             timers: BinaryHeap::new(),
-            set: 0,
-            closes: Vec::new(),
+            timers_set: 0,
+            pending_closes: Vec::new(),
             cut: Cut::default(),
             deferred_events: BTreeMap::new(),
         }
     }
 
+    /// Time since the start of the process, in microseconds.
     pub fn now(&self) -> Micros {
         self.net.now()
     }
 
+    /// Unix time in microseconds.
     pub fn unix(&self) -> Micros {
         self.net.unix_time_at_start() + self.net.now()
     }
 
-    /// Listens; the number of the listener (63 at most).
+    /// Listens on an address. Returns the number of the listener, 59 at most (its token is 63 then).
     ///
     /// # Errors
-    /// The address is taken, or there are too many.
+    /// The address is in use, or there are too many listeners.
     pub fn listen(&mut self, at: SocketAddr) -> io::Result<usize> {
-        // 0 to 3 are the net's own.
+        // Tokens 0 to 3 belong to the transport.
         let number = self.listeners.len();
-        if number + 4 >= FIRST_CONN {
+        if number + 4 >= FIRST_CONNECTION_TOKEN {
             return Err(ErrorKind::OutOfMemory.into());
         }
         let listener = self.net.listen(at, number + 4)?;
@@ -152,7 +163,7 @@
         self.listeners.iter_mut().for_each(|l| *l = None);
     }
 
-    /// Cuts the ways to and from whoever connected here, or makes them whole.
+    /// Cuts the directions to and from the peers that connected here, or heals them.
     pub fn set_cut(&mut self, cut: Cut) {
         self.cut = cut;
         if !cut.outwards {
@@ -170,25 +181,27 @@
         self.cut
     }
 
-    /// Whether news of this token is held back.
+    /// Whether events of this token are deferred until the cut heals.
     fn is_deferred(&self, token: Token) -> bool {
         let accepted = |conn| {
             self.connections
                 .get(conn)
                 .is_none_or(|connection| connection.accepted)
         };
-        self.cut.inwards && (4..FIRST_CONN).contains(&token)
-            || self.cut.inwards && token >= FIRST_CONN && accepted(token - FIRST_CONN)
+        self.cut.inwards && (4..FIRST_CONNECTION_TOKEN).contains(&token)
+            || self.cut.inwards
+                && token >= FIRST_CONNECTION_TOKEN
+                && accepted(token - FIRST_CONNECTION_TOKEN)
     }
 
-    /// Begins to open a connection.
+    /// Begins to open a connection. Returns its number.
     ///
     /// # Errors
-    /// No descriptors, or refused at once.
+    /// There is no free descriptor, or the connection is refused at once.
     pub fn connect(&mut self, to: SocketAddr) -> io::Result<usize> {
         let stream = self
             .net
-            .connect(to, FIRST_CONN + self.connections.vacant_key())?;
+            .connect(to, FIRST_CONNECTION_TOKEN + self.connections.vacant_key())?;
         Ok(self.insert(stream, true, false))
     }
 
@@ -202,8 +215,8 @@
             buf,
             out,
             connecting,
-            ended: false,
-            closing: false,
+            read_ended: false,
+            close_when_flushed: false,
             accepted,
             since,
         })
@@ -221,11 +234,13 @@
         self.connections.is_empty()
     }
 
+    /// The numbers of all connections.
     pub fn conns(&self) -> Vec<usize> {
         self.connections.iter().map(|(conn, _)| conn).collect()
     }
 
-    /// Sends, now or when the peer takes it. What breaks is told by an event.
+    /// Queues bytes and writes what the connection accepts now; the rest is written when it becomes writable. A broken
+    /// connection is reported by an event.
     pub fn send(&mut self, conn: usize, bytes: Bytes) {
         if let Some(connection) = self.connections.get_mut(conn) {
             connection.out.push(bytes);
@@ -236,6 +251,7 @@
         }
     }
 
+    /// Bytes that are queued and not written yet.
     pub fn unsent(&self, conn: usize) -> usize {
         self.connections
             .get(conn)
@@ -246,35 +262,38 @@
         self.connections.try_remove(conn);
     }
 
-    /// Closes a connection once all is written.
+    /// Closes a connection once everything queued is written.
     pub fn close_when_written(&mut self, conn: usize) {
         if let Some(connection) = self.connections.get_mut(conn) {
-            connection.closing = true;
+            connection.close_when_flushed = true;
             if connection.out.is_empty() {
                 self.close(conn);
             }
         }
     }
 
-    /// Ends this side's sending only.
+    /// Ends the sending of this side; receiving continues.
     pub fn shutdown_write(&mut self, conn: usize) {
         if let Some(connection) = self.connections.get_mut(conn) {
             let _ = connection.stream.shutdown_write();
         }
     }
 
+    /// Sets a timer at a time on this host's clock.
     pub fn set_timer(&mut self, at: Micros, due: D) {
-        self.set += 1;
-        self.timers.push(Reverse((at, self.set, due)));
+        self.timers_set += 1;
+        self.timers.push(Reverse((at, self.timers_set, due)));
     }
 
+    /// When the next timer is due, on this host's clock.
     pub fn next_due(&self) -> Micros {
-        // A stand-in with nothing to do still looks round now and then.
+        // Without a timer an emulator still runs every 500 ms.
         self.timers
             .peek()
             .map_or(self.now() + 500_000, |Reverse((at, ..))| *at)
     }
 
+    /// Takes a timer that is due.
     pub fn pop_due(&mut self) -> Option<D> {
         let now = self.now();
         if self.timers.peek().is_none_or(|Reverse((at, ..))| *at > now) {
@@ -283,17 +302,17 @@
         self.timers.pop().map(|Reverse((.., due))| due)
     }
 
-    /// What has come, connection by connection.
+    /// Waits for at most `wait` microseconds and fills `events` with the events of the connections.
     ///
     /// # Errors
-    /// The system cannot be asked.
+    /// Polling the transport fails.
     pub fn poll(
         &mut self,
         wait: Micros,
         events: &mut Vec<(usize, ConnectionEvent)>,
     ) -> io::Result<()> {
         events.clear();
-        for (conn, serial) in std::mem::take(&mut self.closes) {
+        for (conn, serial) in std::mem::take(&mut self.pending_closes) {
             if self
                 .connections
                 .get(conn)
@@ -315,8 +334,8 @@
                     deferred.read_closed |= event.read_closed;
                     deferred.error |= event.error;
                 }
-                token if token >= FIRST_CONN => {
-                    self.handle_ready(token - FIRST_CONN, event, events);
+                token if token >= FIRST_CONNECTION_TOKEN => {
+                    self.handle_ready(token - FIRST_CONNECTION_TOKEN, event, events);
                 }
                 token if token >= 4 => self.accept(token - 4, token, events),
                 _ => {}
@@ -328,22 +347,22 @@
 
     fn accept(&mut self, number: usize, token: Token, events: &mut Vec<(usize, ConnectionEvent)>) {
         loop {
-            let next = FIRST_CONN + self.connections.vacant_key();
+            let next_token = FIRST_CONNECTION_TOKEN + self.connections.vacant_key();
             let Some(Some(listener)) = self.listeners.get_mut(number) else {
                 return;
             };
-            match self.net.accept(listener, next) {
+            match self.net.accept(listener, next_token) {
                 Ok(stream) => {
                     let conn = self.insert(stream, false, true);
                     events.push((conn, ConnectionEvent::Accepted(number)));
-                    let all = ReadyEvent {
+                    let readiness = ReadyEvent {
                         token,
                         readable: true,
                         writable: true,
                         read_closed: false,
                         error: false,
                     };
-                    self.handle_ready(conn, &all, events);
+                    self.handle_ready(conn, &readiness, events);
                 }
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => {}
                 Err(_) => return,
@@ -381,10 +400,10 @@
         }
         let blocked = connection.accepted && self.cut.outwards;
         let broken = !blocked && connection.out.flush(&mut connection.stream).is_err();
-        if connection.closing && connection.out.is_empty() {
-            return self.closes.push((conn, connection.serial));
+        if connection.close_when_flushed && connection.out.is_empty() {
+            return self.pending_closes.push((conn, connection.serial));
         }
-        let mut some = false;
+        let mut has_received = false;
         if !(event.readable || event.read_closed || event.error) {
             return;
         }
@@ -397,28 +416,33 @@
                 &mut connection.buf,
                 &mut self.scratch,
             ) {
-                ReadOutcome::More => some = true,
+                ReadOutcome::More => has_received = true,
                 ReadOutcome::Empty => break,
                 ReadOutcome::Closed | ReadOutcome::Failed => {
-                    connection.ended = true;
+                    connection.read_ended = true;
                     break;
                 }
             }
-            if connection.buf.len() > UNREAD_MOST {
-                connection.ended = true;
+            if connection.buf.len() > MAX_UNPROCESSED {
+                connection.read_ended = true;
                 break;
             }
         }
-        if some {
+        if has_received {
             events.push((conn, ConnectionEvent::Received));
         }
-        if connection.ended {
-            self.ended(conn, broken, events);
+        if connection.read_ended {
+            self.handle_read_end(conn, broken, events);
         }
     }
 
-    /// The peer has ended its sending, or the connection broke.
-    fn ended(&mut self, conn: usize, broken: bool, events: &mut Vec<(usize, ConnectionEvent)>) {
+    /// Reports that the peer has ended its sending, or that the connection broke.
+    fn handle_read_end(
+        &mut self,
+        conn: usize,
+        broken: bool,
+        events: &mut Vec<(usize, ConnectionEvent)>,
+    ) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
@@ -427,7 +451,7 @@
             return events.push((conn, ConnectionEvent::ReadClosed));
         }
         events.push((conn, ConnectionEvent::Failed { refused: false }));
-        // Its bytes may still be looked at in this round.
-        self.closes.push((conn, connection.serial));
+        // Closed at the next poll only, so that its last bytes can still be processed.
+        self.pending_closes.push((conn, connection.serial));
     }
 }
--- a/crates/testbed/src/process_fleet.rs
+++ b/crates/testbed/src/process_fleet.rs
@@ -1,5 +1,5 @@
-//! A node as a process of its own: the program as operators start it, its configuration in a file, signals for what
-//! happens to it. Ends with the value: killed, and waited for, also when it is stopped.
+//! A node as a process of its own, started as operators start it: configured by a file and controlled by signals. The
+//! process is killed and waited for when its value is dropped, also while it is stopped by SIGSTOP.
 
 use std::fs::{self, File};
 use std::io;
@@ -10,26 +10,26 @@
 
 use rustix::process::{kill_process, Pid, Signal};
 
-/// How long a node may take until it listens.
-const READY: Duration = Duration::from_secs(10);
-/// Bytes of the log's end that are shown of a node that ended unasked.
-const WORDS_MOST: usize = 400;
+/// How long a node may take after its start until it listens.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How many bytes of the end of its log are shown for a node that ended unexpectedly.
+const MAX_LOG_TAIL: usize = 400;
 
-/// What a node's process is started with.
+/// Settings of a node's process.
 pub(crate) struct ProcessSettings<'a> {
-    /// The program; it is started as `PROGRAM run`.
+    /// Path of the program, which is started as `PROGRAM run`.
     pub(crate) program: &'a Path,
-    /// Its name in logs.
+    /// The node's name in logs.
     pub(crate) name: String,
-    /// The text of its configuration.
+    /// The node's configuration (JSON).
     pub(crate) configuration: &'a str,
-    /// The text of its file for the memcached protocol.
+    /// The memcached configuration (TOML); None if the node does not serve the memcached protocol.
     pub(crate) memcached: Option<&'a str>,
-    /// It writes the event trace to its log.
+    /// Whether the node writes the event trace to its log.
     pub(crate) traces: bool,
 }
 
-/// What a process uses.
+/// Resources that a process uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ProcessUsage {
     /// Open descriptors.
@@ -42,7 +42,7 @@
 pub(crate) struct Process {
     child: Child,
     name: String,
-    /// Its configuration and its log; goes with it.
+    /// Holds the configuration and the log; deleted when the value is dropped.
     folder: tempfile::TempDir,
 }
 
@@ -50,7 +50,7 @@
     /// Starts a process.
     ///
     /// # Errors
-    /// Its files can't be written, or it can't be started.
+    /// The files can't be written, or the program can't be started.
     pub(crate) fn spawn(settings: &ProcessSettings<'_>) -> io::Result<Process> {
         let folder = tempfile::Builder::new().prefix(&settings.name).tempdir()?;
         let path = folder.path().join("config.json");
@@ -82,15 +82,17 @@
     /// Waits until the process listens.
     ///
     /// # Errors
-    /// It ends at once, or does not listen within ten seconds.
+    /// The process ends before it listens, or does not listen within ten seconds.
     pub(crate) fn wait_until_listening(&mut self, listen: SocketAddr) -> io::Result<()> {
-        let begun = Instant::now();
-        while TcpStream::connect_timeout(&listen, READY).is_err() {
+        let started = Instant::now();
+        while TcpStream::connect_timeout(&listen, READY_TIMEOUT).is_err() {
             if let Some(status) = self.ended() {
-                let words = self.last_words();
-                return Err(io::Error::other(format!("it ended ({status}): {words}")));
+                let log_tail = self.log_tail();
+                return Err(io::Error::other(format!(
+                    "process ended before it listened on {listen} ({status}): {log_tail}"
+                )));
             }
-            if begun.elapsed() > READY {
+            if started.elapsed() > READY_TIMEOUT {
                 return Err(io::ErrorKind::TimedOut.into());
             }
             std::thread::sleep(Duration::from_millis(2));
@@ -98,17 +100,17 @@
         Ok(())
     }
 
-    /// Its name in logs.
+    /// The node's name in logs.
     pub(crate) fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where its log is.
+    /// Path of the log.
     pub(crate) fn log(&self) -> PathBuf {
         self.file("log")
     }
 
-    /// The text of its configuration.
+    /// Reads the configuration file.
     ///
     /// # Errors
     /// The file can't be read.
@@ -116,7 +118,7 @@
         fs::read_to_string(self.file("config.json"))
     }
 
-    /// Replaces its configuration, which is complete at each moment. It has to be told (SIGHUP).
+    /// Replaces the configuration file atomically. The process reads it on SIGHUP.
     ///
     /// # Errors
     /// The file can't be written.
@@ -126,7 +128,7 @@
         fs::rename(next, self.file("config.json"))
     }
 
-    /// What it uses now; none where the system does not say.
+    /// The process's current resource usage; None if /proc does not report it.
     pub(crate) fn usage(&self) -> Option<ProcessUsage> {
         let id = self.child.id();
         let descriptors = fs::read_dir(format!("/proc/{id}/fd")).ok()?.count();
@@ -143,32 +145,32 @@
         self.folder.path().join(name)
     }
 
-    /// A signal to a process that has ended, and was not waited for yet, does nothing.
+    /// Sends a signal. A process that has ended and was not waited for yet ignores it.
     pub(crate) fn signal(&self, signal: Signal) {
         if let Some(pid) = i32::try_from(self.child.id()).ok().and_then(Pid::from_raw) {
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Discovery is elsewhere from now on: its configuration says so, whole at each moment. It has to be told (SIGHUP).
+    /// Replaces the address of discovery in the configuration file atomically. The process reads it on SIGHUP.
     ///
     /// # Errors
-    /// The file cannot be read or written.
+    /// The file can't be read, parsed or written.
     pub(crate) fn moves(&self, discovery: SocketAddr) -> io::Result<()> {
         let mut config: serde_json::Value = serde_json::from_str(&self.configuration()?)?;
         config["discovery"] = discovery.to_string().into();
         self.set_configuration(&config.to_string())
     }
 
-    /// How it ended, if it has.
+    /// The exit status; None while the process runs.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// The end of its log.
-    pub(crate) fn last_words(&self) -> String {
+    /// The end of the log, at most `MAX_LOG_TAIL` bytes.
+    pub(crate) fn log_tail(&self) -> String {
         let log = fs::read(self.file("log")).unwrap_or_default();
-        String::from_utf8_lossy(&log[log.len().saturating_sub(WORDS_MOST)..])
+        String::from_utf8_lossy(&log[log.len().saturating_sub(MAX_LOG_TAIL)..])
             .trim()
             .to_string()
     }
--- a/crates/testbed/src/restart_soak/mod.rs
+++ b/crates/testbed/src/restart_soak/mod.rs
@@ -1,8 +1,9 @@
-//! A soak of planned restarts: real processes over real sockets, restarted again and again while clients go on using every
-//! open connection.
+//! A soak test of planned restarts: real processes on real sockets are restarted again and again while clients keep
+//! using all open connections.
 //!
-//! [`plan`] draws from a seed what is played; [`play`] plays it and judges it by the [`crate::checker`]. A seed's draws are
-//! fixed, real time is not: a violation may show in some plays of its seed only.
+//! [`plan`] draws the restarts and faults from a seed; [`play`] runs them and checks the run with the
+//! [`crate::checker`]. The draws of a seed are fixed but the timing of a run is not, so a violation may occur in
+//! only some plays of its seed.
 
 pub mod plan;
 
@@ -29,32 +30,34 @@
 use crate::site;
 use plan::{NodeSignal, Part, Plan, Restart};
 
-/// An answer that comes up to so much after its time only earns nothing; later it is lost.
+/// How late an answer may be before it counts as lost, in microseconds. An answer within this margin has no value,
+/// but is no violation.
 const ANSWER_MARGIN: Micros = 500_000;
-/// Pause between two looks at what the run has to do.
+/// Longest wait for an observation in one step of the run.
 const STEP: Duration = Duration::from_millis(5);
-/// Pause between two samples of what processes use.
+/// Time between two samples of the processes' resource usage, in microseconds.
 const SAMPLE_INTERVAL: Micros = 250_000;
-/// How long after the end of a process the next one is started.
+/// Time from the end of a process to the start of the next one, in microseconds.
 const START_PAUSE: Micros = 50_000;
-/// How long a configuration that can't be read stays.
+/// How long an unreadable configuration stays in place, in microseconds.
 const UNREADABLE_FOR: Micros = 200_000;
-/// Least mean pause of a connection between an answer and its next requests, and the pause of one that rests.
+/// Shortest mean pause of a connection between an answer and its next requests, in microseconds.
 const MIN_THINK_TIME: Micros = 60_000;
+/// The same pause of a resting connection, in microseconds.
 const RESTING_INTERVAL: Micros = 1_500_000;
-/// Lines of the nodes' logs that are shown of a play.
+/// Most lines of the nodes' logs that are shown for a play.
 const MAX_LOG_LINES: usize = 60;
 
-/// What to play of a seed.
+/// Options of a play.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program that runs as a node: `PROGRAM run`.
     pub program: PathBuf,
-    /// The parts to play besides restarts.
+    /// The parts of the plan to play besides restarts.
     pub parts: Vec<Part>,
 }
 
-/// What was counted in one play.
+/// Counters of a play, or of several plays added up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests sent.
@@ -65,19 +68,20 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests whose client disconnected first.
+    /// Requests whose client disconnected before an answer.
     pub disconnected: u64,
-    /// Requests whose connection ended first.
+    /// Requests whose connection was ended by the node before an answer.
     pub closed: u64,
     /// Processes that got SIGTERM and have ended.
     pub restarts: u64,
-    /// Signals sent, SIGTERM and SIGSTOP among them.
+    /// Signals sent, including SIGTERM and SIGSTOP.
     pub signals: u64,
-    /// Most descriptors of a process.
+    /// Most open descriptors of any process.
     pub max_descriptors: usize,
-    /// Most resident memory of a process, in MB.
+    /// Most resident memory of any process, in MB.
     pub max_memory_mb: usize,
-    /// Longest time between two steps of the run, in ms: so long the machine let the run itself, and perhaps the nodes, wait.
+    /// Longest time between two steps of the run, in ms: for that long the machine did not schedule the run itself,
+    /// and perhaps not the nodes either.
     pub max_stall_ms: u64,
 }
 
@@ -97,19 +101,19 @@
     }
 }
 
-/// What a play showed.
+/// The result of a play.
 pub struct Outcome {
-    /// What was played.
+    /// The plan that was played.
     pub plan: Plan,
-    /// Rules that were broken.
+    /// Violations of the checker's rules.
     pub violations: Vec<Violation>,
-    /// Lines of the nodes' logs on the requests of violations.
+    /// Lines of the nodes' logs about the requests of violations, at most `MAX_LOG_LINES`.
     pub log_lines: Vec<String>,
-    /// What was counted.
+    /// The counters of the play.
     pub counts: Counts,
 }
 
-/// Plays a seed.
+/// Draws the plan of a seed and plays it.
 ///
 /// # Errors
 /// The fleet cannot be started: no addresses, threads or descriptors, or a node does not listen.
@@ -120,33 +124,39 @@
     Ok(soak.end())
 }
 
-/// What is to be done at a stated time.
+/// An action of the run at a scheduled time.
 #[derive(Clone, Debug)]
 enum Task {
+    /// Sends SIGTERM for a planned restart.
     Terminate(Restart),
     Signal {
         node: usize,
         signal: NodeSignal,
     },
+    /// Restores a configuration that was made unreadable.
     RestoreConfiguration {
         node: usize,
     },
+    /// Makes the clients open no more connections to a node.
     StopConnecting {
         node: usize,
     },
-    /// The process with this number of the node is killed if it has not ended.
+    /// Kills the node's process with this number if it has not ended.
     Kill {
         node: usize,
         process: usize,
     },
+    /// Starts a node's next process, which gets SIGTERM this long after its start if the time is given.
     Start {
         node: usize,
         terminated_at_start: Option<Micros>,
     },
+    /// Sends SIGTERM to the node's process with this number if it was started without waiting until it listens.
     TerminateAtStart {
         node: usize,
         process: usize,
     },
+    /// Stops a node's process by SIGSTOP for a time.
     Hold {
         node: usize,
         lasts: Micros,
@@ -154,20 +164,21 @@
     Resume {
         node: usize,
     },
+    /// Sets the number of idle clients at each node.
     IdleClients(usize),
 }
 
-/// What the run knows of a node.
+/// State of a node in the run.
 #[derive(Clone, Debug, Default)]
 struct NodeState {
     /// Processes started so far.
     processes: usize,
     is_stopping: bool,
-    /// Its process has been started, and does not have to listen yet.
+    /// Its process was started without waiting until it listens.
     is_starting: bool,
-    /// What the process that follows gets.
+    /// How long after its start the next process gets SIGTERM; None if it does not.
     terminated_at_start: Option<Micros>,
-    /// Its configuration before it was made unreadable.
+    /// The configuration file's text before it was made unreadable.
     configuration: Option<String>,
 }
 
@@ -178,15 +189,16 @@
     checker: Checker,
     names: RequestNames,
     observations: Receiver<Observation>,
+    /// By time since the start and order of scheduling.
     tasks: BTreeMap<(Micros, u64), Task>,
     task_count: u64,
     nodes: Vec<NodeState>,
     counts: Counts,
-    /// Ended processes, for their logs.
-    ended: Vec<Process>,
-    next_sample: Micros,
-    last_step: Micros,
-    began: Instant,
+    /// Ended processes, kept for their logs.
+    ended_processes: Vec<Process>,
+    next_sample_at: Micros,
+    last_step_at: Micros,
+    started_at: Instant,
 }
 
 impl Soak {
@@ -213,7 +225,7 @@
         if let Some(why) = fleet.take_announcements().pop() {
             return Err(io::Error::other(why));
         }
-        fleet.start_persistent_clients(clients(&plan, &fleet))?;
+        fleet.start_persistent_clients(client_settings(&plan, &fleet))?;
         fleet.start_misbehaving_clients()?;
         fleet.start_idle_clients()?;
         let mut checker = Checker::new(Requirements {
@@ -221,12 +233,12 @@
             ..site::requirements(MAX_THREAD_DELAY)
         });
         checker.require_service();
-        let processes = NodeState {
+        let node_state = NodeState {
             processes: 1,
             ..NodeState::default()
         };
         let mut soak = Soak {
-            nodes: vec![processes; plan.scenario.nodes],
+            nodes: vec![node_state; plan.scenario.nodes],
             fleet,
             scheduler,
             checker,
@@ -235,14 +247,14 @@
             tasks: BTreeMap::new(),
             task_count: 0,
             counts: Counts::default(),
-            ended: Vec::new(),
-            next_sample: 0,
-            last_step: 0,
-            began: Instant::now(),
+            ended_processes: Vec::new(),
+            next_sample_at: 0,
+            last_step_at: 0,
+            started_at: Instant::now(),
             plan,
         };
         soak.schedule_plan();
-        soak.last_step = soak.now();
+        soak.last_step_at = soak.now();
         Ok(soak)
     }
 
@@ -251,27 +263,27 @@
             for (after, signal) in &restart.signals {
                 let node = restart.node;
                 let signal = *signal;
-                self.at(restart.at + after, Task::Signal { node, signal });
+                self.schedule(restart.at + after, Task::Signal { node, signal });
             }
-            self.at(restart.at, Task::Terminate(restart));
+            self.schedule(restart.at, Task::Terminate(restart));
         }
         for hold in self.plan.holds.clone() {
             let (node, lasts) = (hold.node, hold.lasts);
-            self.at(hold.at, Task::Hold { node, lasts });
+            self.schedule(hold.at, Task::Hold { node, lasts });
         }
         if let Some(pressure) = self.plan.descriptor_pressure {
-            self.at(pressure.from, Task::IdleClients(pressure.idle_clients));
-            self.at(pressure.to, Task::IdleClients(0));
+            self.schedule(pressure.from, Task::IdleClients(pressure.idle_clients));
+            self.schedule(pressure.to, Task::IdleClients(0));
         }
     }
 
-    fn at(&mut self, at: Micros, task: Task) {
+    fn schedule(&mut self, at: Micros, task: Task) {
         self.task_count += 1;
         self.tasks.insert((at, self.task_count), task);
     }
 
     fn now(&self) -> Micros {
-        self.began.elapsed().as_micros() as Micros
+        self.started_at.elapsed().as_micros() as Micros
     }
 
     fn run(&mut self) {
@@ -283,17 +295,17 @@
 
     fn step(&mut self) {
         let now = self.now();
-        let stall_ms = (now - self.last_step) as u64 / 1000;
+        let stall_ms = (now - self.last_step_at) as u64 / 1000;
         self.counts.max_stall_ms = self.counts.max_stall_ms.max(stall_ms);
-        self.last_step = now;
+        self.last_step_at = now;
         self.scheduler.run(now, &mut self.fleet);
         while let Some(entry) = self.tasks.first_entry().filter(|e| e.key().0 <= now) {
             let task = entry.remove();
             self.perform(task, now);
         }
-        self.note_ends(now);
-        if now >= self.next_sample {
-            self.next_sample = now + SAMPLE_INTERVAL;
+        self.record_ended_processes(now);
+        if now >= self.next_sample_at {
+            self.next_sample_at = now + SAMPLE_INTERVAL;
             self.sample_usage(now);
         }
         let Ok(observation) = self.observations.recv_timeout(STEP) else {
@@ -323,13 +335,13 @@
                 if state.processes == process && state.is_starting {
                     state.is_stopping = true;
                     self.send(node, Signal::TERM);
-                    let kill = now + self.plan.kill_after();
-                    self.at(kill, Task::Kill { node, process });
+                    let kill_at = now + self.plan.kill_after();
+                    self.schedule(kill_at, Task::Kill { node, process });
                 }
             }
             Task::Hold { node, lasts } => {
                 self.send(node, Signal::STOP);
-                self.at(now + lasts, Task::Resume { node });
+                self.schedule(now + lasts, Task::Resume { node });
             }
             Task::Resume { node } => self.send(node, Signal::CONT),
             Task::IdleClients(count) => self.fleet.set_idle_clients(count),
@@ -353,10 +365,10 @@
         self.fleet.stop_node(node);
         self.counts.signals += 1;
         let process = self.nodes[node].processes;
-        let kill = now + self.plan.kill_after();
-        self.at(kill, Task::Kill { node, process });
-        let stop_connecting = now + restart.new_connections_for;
-        self.at(stop_connecting, Task::StopConnecting { node });
+        let kill_at = now + self.plan.kill_after();
+        self.schedule(kill_at, Task::Kill { node, process });
+        let stop_connecting_at = now + restart.new_connections_for;
+        self.schedule(stop_connecting_at, Task::StopConnecting { node });
     }
 
     fn signal(&mut self, node: usize, signal: NodeSignal, now: Micros) {
@@ -374,7 +386,7 @@
                 if process.set_configuration("{").is_ok() {
                     self.nodes[node].configuration.get_or_insert(text);
                     self.send(node, Signal::HUP);
-                    self.at(now + UNREADABLE_FOR, Task::RestoreConfiguration { node });
+                    self.schedule(now + UNREADABLE_FOR, Task::RestoreConfiguration { node });
                 }
             }
         }
@@ -385,26 +397,26 @@
             return;
         };
         if let Some(process) = self.fleet.process(node) {
-            // Where it can't be written, later reloads meet what can't be read, which is allowed.
+            // If the write fails, later reloads read the unreadable configuration, which is allowed.
             let _ = process.set_configuration(&text);
         }
     }
 
-    /// A process that has not ended by the time of the kill is one that breaks the rule.
+    /// Kills a process that has not ended in time after SIGTERM, and records the violation.
     fn kill(&mut self, node: usize, process: usize, now: Micros) {
         if self.nodes[node].processes != process || self.fleet.process(node).is_none() {
             return;
         }
         let why = format!(
-            "node {node} has not ended {} ms after SIGTERM, when it may be killed",
+            "node {node} has not ended {} ms after SIGTERM and is killed",
             self.plan.kill_after() / 1000
         );
-        self.violate(Rule::NoRequestLost, now, why);
+        self.add_violation(Rule::NoRequestLost, now, why);
         self.fleet.kill_node(node);
-        self.process_ended(node, now);
+        self.schedule_successor(node, now);
     }
 
-    fn violate(&mut self, rule: Rule, at: Micros, why: String) {
+    fn add_violation(&mut self, rule: Rule, at: Micros, why: String) {
         self.checker.add(Violation {
             rule,
             at,
@@ -423,44 +435,44 @@
         let process = state.processes;
         if let Some(after) = terminated_at_start {
             self.fleet.spawn_node(node);
-            self.at(now + after, Task::TerminateAtStart { node, process });
+            self.schedule(now + after, Task::TerminateAtStart { node, process });
         } else {
             self.fleet.start_node(node);
             self.fleet.command_clients(ControlCommand::Up(node));
         }
     }
 
-    /// Takes up processes that have ended by themselves.
-    fn note_ends(&mut self, now: Micros) {
+    /// Records the processes that have ended by themselves and schedules their successors.
+    fn record_ended_processes(&mut self, now: Micros) {
         for node in 0..self.nodes.len() {
             let Some(status) = self.fleet.process(node).and_then(Process::ended) else {
                 continue;
             };
-            if !self.is_proper_end(node, status) {
-                let words = self.fleet.process(node).map(|p| p.last_words());
-                let words = words.unwrap_or_default();
-                let why = format!("node {node} ended unasked or badly ({status}): {words}");
-                self.violate(Rule::NoRequestLost, now, why);
+            if !self.is_expected_exit(node, status) {
+                let log_tail = self.fleet.process(node).map(|p| p.log_tail());
+                let log_tail = log_tail.unwrap_or_default();
+                let why = format!("node {node} ended unexpectedly ({status}): {log_tail}");
+                self.add_violation(Rule::NoRequestLost, now, why);
             }
-            self.ended.extend(self.fleet.take_process(node));
+            self.ended_processes.extend(self.fleet.take_process(node));
             self.fleet.record(Event::NodeEnded {
                 node,
                 killed: false,
             });
-            self.process_ended(node, now);
+            self.schedule_successor(node, now);
         }
     }
 
-    fn is_proper_end(&self, node: usize, status: ExitStatus) -> bool {
+    fn is_expected_exit(&self, node: usize, status: ExitStatus) -> bool {
         use std::os::unix::process::ExitStatusExt;
         let state = &self.nodes[node];
-        // A process has no handler for the signal in its first moments.
+        // A process that has just been started has not installed its signal handler yet.
         let is_ended_by_signal = status.signal() == Some(Signal::TERM.as_raw());
         state.is_stopping && (status.success() || state.is_starting && is_ended_by_signal)
     }
 
-    /// Another process follows.
-    fn process_ended(&mut self, node: usize, now: Micros) {
+    /// Schedules the start of the next process of a node.
+    fn schedule_successor(&mut self, node: usize, now: Micros) {
         self.counts.restarts += 1;
         let terminated_at_start = self.nodes[node].terminated_at_start.take();
         self.fleet.command_clients(ControlCommand::Down(node));
@@ -468,17 +480,17 @@
             node,
             terminated_at_start,
         };
-        self.at(now + START_PAUSE, start);
+        self.schedule(now + START_PAUSE, start);
     }
 
-    /// Checks what the processes use against their limits.
+    /// Samples the processes' resource usage and checks it against the limits.
     fn sample_usage(&mut self, now: Micros) {
         for node in 0..self.nodes.len() {
             let Some(usage) = self.fleet.process(node).and_then(|process| process.usage()) else {
                 continue;
             };
             if usage.memory_mb == 0 {
-                // The program is just being executed: until then it holds the rig's own descriptors.
+                // The process has not executed its program yet, and still holds copies of this process's descriptors.
                 continue;
             }
             let counts = &mut self.counts;
@@ -486,13 +498,13 @@
             counts.max_memory_mb = counts.max_memory_mb.max(usage.memory_mb);
             if usage.descriptors > self.plan.descriptors || usage.memory_mb > site::MEMORY_MB {
                 let why = format!(
-                    "node {node} has {} descriptors and {} MB, of {} and {}",
+                    "node {node} uses {} descriptors and {} MB, limits are {} and {} MB",
                     usage.descriptors,
                     usage.memory_mb,
                     self.plan.descriptors,
                     site::MEMORY_MB
                 );
-                self.violate(Rule::ProtocolAndLifecycle, now, why);
+                self.add_violation(Rule::ProtocolAndLifecycle, now, why);
             }
         }
     }
@@ -514,7 +526,7 @@
         self.checker.observe(&observation);
     }
 
-    /// Ends the fleet gracefully; whatever is still due then counts.
+    /// Shuts down all nodes gracefully. Requests that are still unanswered at the end are violations.
     fn end(mut self) -> Outcome {
         self.tasks.clear();
         let now = self.now();
@@ -525,15 +537,16 @@
                 self.fleet.stop_node(node);
             }
         }
-        let kill = now + self.plan.kill_after();
-        while self.now() < kill && (0..self.nodes.len()).any(|n| self.fleet.process(n).is_some()) {
+        let kill_at = now + self.plan.kill_after();
+        while self.now() < kill_at && (0..self.nodes.len()).any(|n| self.fleet.process(n).is_some())
+        {
             self.step();
-            // None is started again.
+            // Discards the scheduled starts, so that no node is started again.
             self.tasks.clear();
         }
         for node in 0..self.nodes.len() {
             let process = self.nodes[node].processes;
-            self.kill(node, process, kill);
+            self.kill(node, process, kill_at);
         }
         self.drain_observations();
         let now = self.now();
@@ -547,18 +560,18 @@
         }
     }
 
-    /// Observations that are still on their way.
+    /// Processes observations that are still in the channel or about to be sent.
     fn drain_observations(&mut self) {
         while let Ok(observation) = self.observations.recv_timeout(STEP * 10) {
             self.observe(observation);
         }
     }
 
-    /// What the nodes' logs say of the requests of violations.
+    /// The lines of the nodes' logs that name a request of a violation.
     fn log_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for id in self.checker.violations.iter().filter_map(|v| v.id.as_ref()) {
-            for process in &self.ended {
+            for process in &self.ended_processes {
                 let log = fs::read(process.log()).unwrap_or_default();
                 let log = String::from_utf8_lossy(&log);
                 let of_request = log.lines().filter(|line| line.contains(&**id));
@@ -570,11 +583,11 @@
     }
 }
 
-/// The clients of a plan.
-fn clients(plan: &Plan, fleet: &RealFleet) -> persistent_clients::Settings {
+/// Settings of the plan's clients.
+fn client_settings(plan: &Plan, fleet: &RealFleet) -> persistent_clients::Settings {
     let until = (plan.scenario.seconds * 1e6) as Micros;
     let nodes = fleet.addresses();
-    let usual = site::clients(
+    let default_settings = site::clients(
         Vec::new(),
         Vec::new(),
         site::ProtocolOptions::default(),
@@ -582,7 +595,7 @@
         &plan.scenario,
         until,
     );
-    let mut classes = usual.classes;
+    let mut classes = default_settings.classes;
     for class in &mut classes {
         class.deadline = (class.deadline as f64 * plan.deadline_factor) as Micros;
     }
@@ -591,8 +604,12 @@
     persistent_clients::Settings {
         nodes,
         classes,
-        tenants: usual.tenants.into_iter().map(|(name, _)| name).collect(),
-        keys: usual.keys,
+        tenants: default_settings
+            .tenants
+            .into_iter()
+            .map(|(name, _)| name)
+            .collect(),
+        keys: default_settings.keys,
         connections: plan.connections.clone(),
         think_time: think_time.max(MIN_THINK_TIME),
         resting_interval: RESTING_INTERVAL,
--- a/crates/testbed/src/restart_soak/plan.rs
+++ b/crates/testbed/src/restart_soak/plan.rs
@@ -1,5 +1,5 @@
-//! What a seed of the soak plays. Everything is drawn before the run begins, so that a seed always means the same, although
-//! real time does not repeat.
+//! The plan of a soak test's seed. Everything is drawn before the run begins, so that a seed always has the same plan,
+//! although the timing of real runs differs.
 
 use std::fmt;
 use std::str::FromStr;
@@ -11,45 +11,48 @@
 use crate::faults::scenario::{Fault, FieldValue, Scenario};
 use crate::rng::Rng;
 
-/// The classes' longest deadline is drawn between these.
-const MIN_LONGEST_DEADLINE: f64 = 0.3;
-const MAX_LONGEST_DEADLINE: f64 = 20.0;
-/// A node that got SIGTERM is killed this much after the longest deadline at the earliest, of which so much counts at most.
+/// Least value drawn for the longest deadline of the classes, in seconds.
+const MIN_LONGEST_DEADLINE_SECONDS: f64 = 0.3;
+/// Greatest value drawn for the longest deadline of the classes, in seconds.
+const MAX_LONGEST_DEADLINE_SECONDS: f64 = 20.0;
+/// A node is killed at the earliest when the longest deadline and this margin have passed since SIGTERM; in
+/// microseconds.
 const KILL_MARGIN: Micros = 700_000;
+/// Most of the longest deadline that counts towards the time of the kill, in microseconds.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// Connections go on coming for so long after SIGTERM.
-const NEW_CONNECTIONS: (f64, f64) = (0.2, 0.4);
-/// How long a node may be held up.
-const HOLD: Micros = 150_000;
-/// Signals in series come within this time before and after SIGTERM.
-const SERIES: f64 = 0.6;
-/// SIGHUP never comes in a process's first second.
-const MIN_AGE_AT_RELOAD: f64 = 1.1;
-/// Limits on descriptors.
-const DESCRIPTORS: [usize; 4] = [64, 128, 256, 512];
-/// One seed in so many has a large fleet.
+/// Range of the time after SIGTERM during which clients still open connections to the node, in seconds.
+const NEW_CONNECTIONS_SECONDS: (f64, f64) = (0.2, 0.4);
+/// Longest time that a node is held (stopped by SIGSTOP), in microseconds.
+const MAX_HOLD: Micros = 150_000;
+/// Signals in series are sent within this time before and after SIGTERM, in seconds.
+const SIGNAL_SERIES_SECONDS: f64 = 0.6;
+/// Least age of a process at which it gets SIGHUP, in seconds: the signal never arrives in a process's first second.
+const MIN_AGE_AT_RELOAD_SECONDS: f64 = 1.1;
+/// Limits on a node's descriptors from which one is drawn.
+const DESCRIPTOR_LIMITS: [usize; 4] = [64, 128, 256, 512];
+/// On average one seed in this many has a large fleet.
 const SEEDS_PER_LARGE_FLEET: usize = 12;
-/// One seed in so many has clients that fill the descriptors.
+/// One seed in this many has clients that use up the nodes' descriptors.
 const SEEDS_PER_DESCRIPTOR_PRESSURE: usize = 3;
-/// Requests a second for each server; about half of what it can do.
+/// Requests per second for each cache server; about half of its capacity.
 const RATE_PER_SERVER: f64 = 30.0;
 /// When the first node is restarted, in seconds.
-const FIRST_RESTART: f64 = 2.5;
-/// How long all is calm at the end, in seconds.
-const CALM_END: f64 = 5.0;
+const FIRST_RESTART_SECONDS: f64 = 2.5;
+/// Time without restarts and faults at the end of the run, in seconds.
+const FAULT_FREE_END_SECONDS: f64 = 5.0;
 
-/// What can be played besides restarts; each can be named alone.
+/// A part of a plan that can be played besides the restarts; each can be selected alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Part {
     /// Cache servers that are slow, hang, fail or close connections.
     Servers,
-    /// Signals in series.
+    /// Series of signals before and after SIGTERM.
     Signals,
-    /// Idle clients that fill the descriptors, floods and half commands.
+    /// Idle clients that use up the descriptors, floods and incomplete commands.
     DescriptorPressure,
     /// Discovery that is down, moves or drains servers.
     Discovery,
-    /// Nodes that are held up for a moment.
+    /// Nodes that are stopped (SIGSTOP) for a moment.
     Holds,
 }
 
@@ -63,7 +66,7 @@
         Part::Holds,
     ];
 
-    /// Its name on the command line.
+    /// The name of the part on the command line.
     pub fn name(self) -> &'static str {
         match self {
             Part::Servers => "servers",
@@ -81,9 +84,9 @@
     }
 }
 
-/// A name that is no part of the soak.
+/// The error for a name that is not the name of a part.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("{name:?} is no part of the soak; allowed: {}", Part::ALL.map(Part::name).join(", "))]
+#[error("{name:?} is not a part of the soak; allowed: {}", Part::ALL.map(Part::name).join(", "))]
 pub struct UnknownPart {
     name: String,
 }
@@ -102,97 +105,103 @@
 /// A signal to a node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeSignal {
-    /// SIGTERM: end gracefully.
+    /// SIGTERM: shut down gracefully.
     Terminate,
-    /// SIGINT: the same.
+    /// SIGINT: shut down gracefully.
     Interrupt,
-    /// SIGHUP with the configuration as it is.
+    /// SIGHUP with an unchanged configuration.
     Reload,
-    /// SIGHUP with a configuration that can't be read.
+    /// SIGHUP with an unreadable configuration.
     ReloadUnreadable,
 }
 
 /// A planned restart of one node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Restart {
-    /// When it gets SIGTERM.
+    /// When the node gets SIGTERM, in microseconds since the start of the run.
     pub at: Micros,
-    /// The node.
+    /// Number of the node.
     pub node: usize,
-    /// Further signals: when, counted from SIGTERM, and which.
+    /// Further signals, each with its time relative to SIGTERM, in microseconds; negative before it.
     pub signals: Vec<(Micros, NodeSignal)>,
-    /// How long after SIGTERM connections go on coming.
+    /// How long after SIGTERM clients still open connections to the node, in microseconds.
     pub new_connections_for: Micros,
-    /// The process that follows gets SIGTERM so long after its start, and is followed by another one.
+    /// How long after its start the next process gets SIGTERM too, in microseconds, and is replaced by another one.
+    /// None if it does not.
     pub terminated_at_start: Option<Micros>,
 }
 
-/// A node that is held up (SIGSTOP, SIGCONT).
+/// A node that is stopped for a moment (SIGSTOP, then SIGCONT).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// When.
+    /// When the node gets SIGSTOP, in microseconds since the start of the run.
     pub at: Micros,
-    /// Which node.
+    /// Number of the node.
     pub node: usize,
-    /// For how long.
+    /// Time until SIGCONT, in microseconds.
     pub lasts: Micros,
 }
 
-/// Clients that fill the descriptors of all nodes.
+/// Idle clients that use up the descriptors of all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorPressure {
-    /// When it comes.
+    /// When the clients connect, in microseconds since the start of the run.
     pub from: Micros,
-    /// When it goes.
+    /// When they disconnect, in microseconds since the start of the run.
     pub to: Micros,
     /// Idle clients at each node.
     pub idle_clients: usize,
 }
 
-/// What one seed plays.
+/// The plan of one seed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
-    /// Its seed.
+    /// The seed that the plan was drawn from.
     pub seed: u64,
     /// The fleet and the faults of servers, discovery and misbehaving clients.
     pub scenario: Scenario,
-    /// By how much the classes' deadlines differ from the usual ones.
+    /// Factor by which the classes' default deadlines are multiplied.
     pub deadline_factor: f64,
-    /// The longest deadline.
+    /// The longest deadline of the classes, in microseconds.
     pub longest_deadline: Micros,
-    /// Limit of a node's descriptors.
+    /// Limit on a node's descriptors.
     pub descriptors: usize,
-    /// The connections to each node.
+    /// How clients use each of their connections to a node.
     pub connections: Vec<Usage>,
-    /// Restarts by time.
+    /// Restarts, ordered by time.
     pub restarts: Vec<Restart>,
-    /// Held nodes by time.
+    /// Holds of nodes, ordered by time.
     pub holds: Vec<Hold>,
-    /// In a third of the seeds.
+    /// Clients that use up the descriptors; None in two thirds of the seeds.
     pub descriptor_pressure: Option<DescriptorPressure>,
 }
 
 impl Plan {
-    /// The plan of a seed, with these parts of it.
-    pub fn draw(seed: u64, usual_longest_deadline: Micros, parts: &[Part]) -> Plan {
+    /// Draws the plan of a seed and leaves out the parts that are not in `parts`.
+    pub fn draw(seed: u64, default_longest_deadline: Micros, parts: &[Part]) -> Plan {
         let mut rng = Rng::stream(seed, "restart soak", 0);
-        let longest = log_uniform(&mut rng, MIN_LONGEST_DEADLINE, MAX_LONGEST_DEADLINE);
+        let longest_deadline = log_uniform(
+            &mut rng,
+            MIN_LONGEST_DEADLINE_SECONDS,
+            MAX_LONGEST_DEADLINE_SECONDS,
+        );
         let nodes = if rng.below(SEEDS_PER_LARGE_FLEET) == 0 {
             20 + rng.below(11)
         } else {
             2 + rng.below(5)
         };
-        let descriptors = DESCRIPTORS[rng.below(DESCRIPTORS.len())];
+        let descriptors = DESCRIPTOR_LIMITS[rng.below(DESCRIPTOR_LIMITS.len())];
         let servers = 4 + rng.below(5) + nodes / 4;
         let connections = draw_connections(&mut rng, nodes);
-        let restarts = draw_restarts(&mut rng, nodes, micros(longest));
+        let restarts = draw_restarts(&mut rng, nodes, micros(longest_deadline));
         let last_restart = restarts.last().map_or(0, |restart| restart.at);
-        let ends = last_restart + kill_after(micros(longest)) + micros(CALM_END);
-        let seconds = ends as f64 / 1e6;
+        let end =
+            last_restart + kill_after(micros(longest_deadline)) + micros(FAULT_FREE_END_SECONDS);
+        let seconds = end as f64 / 1e6;
         let mut plan = Plan {
             seed,
-            deadline_factor: micros(longest) as f64 / usual_longest_deadline as f64,
-            longest_deadline: micros(longest),
+            deadline_factor: micros(longest_deadline) as f64 / default_longest_deadline as f64,
+            longest_deadline: micros(longest_deadline),
             descriptors,
             connections,
             holds: draw_holds(&mut rng, nodes, last_restart),
@@ -215,7 +224,7 @@
         };
         let faults = draw_faults(
             &mut rng,
-            seconds - CALM_END,
+            seconds - FAULT_FREE_END_SECONDS,
             plan.descriptor_pressure.is_some(),
         );
         plan.scenario.faults = faults
@@ -223,12 +232,12 @@
             .filter(|(part, _)| parts.contains(part))
             .map(|(_, fault)| fault)
             .collect();
-        plan.keep(parts);
+        plan.retain_parts(parts);
         plan
     }
 
-    /// Leaves out what is not among these parts.
-    fn keep(&mut self, parts: &[Part]) {
+    /// Removes the signals, descriptor pressure and holds whose part is not in `parts`.
+    fn retain_parts(&mut self, parts: &[Part]) {
         if !parts.contains(&Part::Signals) {
             for restart in &mut self.restarts {
                 restart.signals.clear();
@@ -243,7 +252,7 @@
         }
     }
 
-    /// How long after SIGTERM a process is killed.
+    /// How long after SIGTERM a process that has not ended is killed, in microseconds.
     pub fn kill_after(&self) -> Micros {
         kill_after(self.longest_deadline)
     }
@@ -261,34 +270,43 @@
     low * (high / low).powf(rng.unit_interval())
 }
 
-/// The connections to each node; fewer to each of many nodes.
+/// Draws the connections to each node; a large fleet has fewer to each node.
 fn draw_connections(rng: &mut Rng, nodes: usize) -> Vec<Usage> {
-    let few = nodes > 6;
+    let is_large_fleet = nodes > 6;
     let mut connections = Vec::new();
     let mut add =
         |count: usize, usage: Usage| connections.extend(std::iter::repeat_n(usage, count));
-    add(if few { 2 } else { 3 + rng.below(4) }, Usage::Serial);
+    add(
+        if is_large_fleet { 2 } else { 3 + rng.below(4) },
+        Usage::Serial,
+    );
     let depth = 2 + rng.below(9);
     add(
-        if few { 1 } else { 1 + rng.below(3) },
+        if is_large_fleet { 1 } else { 1 + rng.below(3) },
         Usage::Pipelined(depth),
     );
-    add(if few { 1 } else { 2 + rng.below(4) }, Usage::Resting);
-    add(if few { 1 } else { 1 + rng.below(3) }, Usage::OneRequest);
+    add(
+        if is_large_fleet { 1 } else { 2 + rng.below(4) },
+        Usage::Resting,
+    );
+    add(
+        if is_large_fleet { 1 } else { 1 + rng.below(3) },
+        Usage::OneRequest,
+    );
     connections
 }
 
-/// One restart after another; in a third of the seeds two overlap.
+/// Draws the restarts, one after another; in a third of the seeds successive restarts overlap.
 fn draw_restarts(rng: &mut Rng, nodes: usize, longest_deadline: Micros) -> Vec<Restart> {
     let overlap = rng.below(3) == 0;
-    let apart = if overlap {
+    let mean_interval = if overlap {
         0.8
     } else {
         kill_after(longest_deadline) as f64 / 1e6 + 1.5
     };
     let count = if nodes > 6 { 8 } else { nodes.clamp(3, 4) };
     let first = rng.below(nodes);
-    let mut at = FIRST_RESTART;
+    let mut at = FIRST_RESTART_SECONDS;
     let mut restarts = Vec::new();
     for number in 0..count {
         let node = (first + number) % nodes;
@@ -296,17 +314,19 @@
             at: micros(at),
             node,
             signals: draw_signals(rng),
-            new_connections_for: micros(rng.between(NEW_CONNECTIONS.0, NEW_CONNECTIONS.1)),
+            new_connections_for: micros(
+                rng.between(NEW_CONNECTIONS_SECONDS.0, NEW_CONNECTIONS_SECONDS.1),
+            ),
             terminated_at_start: (rng.below(4) == 0).then(|| micros(rng.between(0.0, 0.03))),
         });
-        at += apart * rng.between(0.8, 1.2);
-        // A node is not restarted before the process that follows is up.
+        at += mean_interval * rng.between(0.8, 1.2);
+        // A node is not restarted again before the process of its previous restart has come up.
         if number + 1 >= nodes {
             at = at.max(
                 restarts[number + 1 - nodes].at as f64 / 1e6
                     + kill_after(longest_deadline) as f64 / 1e6
-                    + MIN_AGE_AT_RELOAD
-                    + SERIES,
+                    + MIN_AGE_AT_RELOAD_SECONDS
+                    + SIGNAL_SERIES_SECONDS,
             );
         }
     }
@@ -323,11 +343,14 @@
     let mut signals: Vec<(Micros, NodeSignal)> = Vec::new();
     for _ in 0..rng.below(4) {
         let before = [NodeSignal::Reload, NodeSignal::ReloadUnreadable];
-        signals.push((micros(rng.between(-SERIES, 0.0)), before[rng.below(2)]));
+        signals.push((
+            micros(rng.between(-SIGNAL_SERIES_SECONDS, 0.0)),
+            before[rng.below(2)],
+        ));
     }
     for _ in 0..rng.below(4) {
         signals.push((
-            micros(rng.between(0.0, SERIES)),
+            micros(rng.between(0.0, SIGNAL_SERIES_SECONDS)),
             after[rng.below(after.len())],
         ));
     }
@@ -341,7 +364,7 @@
         .map(|_| Hold {
             at: micros(rng.between(1.0, until as f64 / 1e6 + 1.0)),
             node: rng.below(nodes),
-            lasts: micros(rng.between(0.01, 1.0) * HOLD as f64 / 1e6),
+            lasts: micros(rng.between(0.01, 1.0) * MAX_HOLD as f64 / 1e6),
         })
         .collect();
     holds.sort_by_key(|hold| hold.at);
@@ -363,7 +386,7 @@
     })
 }
 
-/// Faults as they are drawn, each over before `until`.
+/// The faults drawn so far, each of which ends before `until`, in seconds.
 struct FaultDraws<'a> {
     rng: &'a mut Rng,
     until: f64,
@@ -401,7 +424,7 @@
 
     fn add_discovery_faults(&mut self, has_pressure: bool) {
         let lasts = self.rng.between(1.0, 4.0);
-        // Clients that fill the descriptors always find discovery down.
+        // Under descriptor pressure discovery always goes down or fails at some time.
         let kinds = if has_pressure { 2 } else { 5 };
         match self.rng.below(kinds) {
             0 => self.add(Part::Discovery, "discovery-down", &[("for", lasts)]),
@@ -416,7 +439,7 @@
     }
 }
 
-/// Faults of servers, discovery and clients, each over before `until`.
+/// Draws faults of servers, discovery and clients, each of which ends before `until`, in seconds.
 fn draw_faults(rng: &mut Rng, until: f64, has_pressure: bool) -> Vec<(Part, Fault)> {
     let mut draws = FaultDraws {
         rng,
--- a/crates/testbed/src/restart_soak/plan_tests.rs
+++ b/crates/testbed/src/restart_soak/plan_tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
-const USUAL: Micros = 2_000_000;
+const DEFAULT_LONGEST_DEADLINE: Micros = 2_000_000;
 
 fn plans() -> impl Iterator<Item = Plan> {
-    (1..=300).map(|seed| Plan::draw(seed, USUAL, &Part::ALL))
+    (1..=300).map(|seed| Plan::draw(seed, DEFAULT_LONGEST_DEADLINE, &Part::ALL))
 }
 
 #[test]
-fn same_seed_is_the_same_plan_and_other_seeds_are_others() {
-    let plan = |seed| Plan::draw(seed, USUAL, &Part::ALL);
+fn same_seed_draws_the_same_plan_and_another_seed_another_one() {
+    let plan = |seed| Plan::draw(seed, DEFAULT_LONGEST_DEADLINE, &Part::ALL);
     assert_eq!(plan(7), plan(7));
     assert_ne!(plan(7).restarts, plan(8).restarts);
 }
 
 #[test]
-fn node_is_restarted_only_after_its_last_process_was_followed_by_another_one() {
+fn node_is_not_restarted_again_before_the_kill_time_of_its_previous_restart() {
     for plan in plans() {
         for (index, restart) in plan.restarts.iter().enumerate() {
             let earlier = &plan.restarts[..index];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn plans_stay_within_the_stated_ranges() {
+fn drawn_values_are_within_their_ranges() {
     let (mut pressures, mut large) = (0, 0);
     for plan in plans() {
         let nodes = plan.scenario.nodes;
@@ -50,9 +50,9 @@
 }
 
 #[test]
-fn parts_that_are_not_named_are_not_played() {
+fn parts_that_are_not_selected_are_left_out_and_the_rest_is_unchanged() {
     for seed in 1..=60 {
-        let plan = Plan::draw(seed, USUAL, &[]);
+        let plan = Plan::draw(seed, DEFAULT_LONGEST_DEADLINE, &[]);
         assert!(
             plan.descriptor_pressure.is_none()
                 && plan.holds.is_empty()
@@ -62,19 +62,19 @@
             .restarts
             .iter()
             .all(|restart| restart.signals.is_empty()));
-        // What is left is that of the whole plan.
-        let whole = Plan::draw(seed, USUAL, &Part::ALL);
+        // The remaining fields are those of the whole plan.
+        let whole = Plan::draw(seed, DEFAULT_LONGEST_DEADLINE, &Part::ALL);
         assert_eq!(plan.restarts.len(), whole.restarts.len());
         assert_eq!(plan.connections, whole.connections);
     }
 }
 
 #[test]
-fn unknown_part_is_rejected_with_what_is_allowed() {
+fn unknown_part_is_rejected_with_the_allowed_names() {
     assert_eq!("holds".parse(), Ok(Part::Holds));
     let error = "hold".parse::<Part>().unwrap_err().to_string();
     assert_eq!(
         error,
-        "\"hold\" is no part of the soak; allowed: servers, signals, descriptors, discovery, holds"
+        "\"hold\" is not a part of the soak; allowed: servers, signals, descriptors, discovery, holds"
     );
 }
