--- a/crates/testbed/src/emulators/clients.rs
+++ b/crates/testbed/src/emulators/clients.rs
@@ -21,80 +21,93 @@
 use crate::protocol_options::{Clients, KEY_PREFIXES};
 use crate::rng::Rng;
 
-/// Connections to one node for requests.
-const CONNS_MOST: usize = 80;
-/// How much longer than its time a client listens, so that a late answer is told from none.
-const LISTEN_ON: Micros = 400_000;
-/// How long no other request gets a short name that one has had: what a jammed origin does for it may come late.
-const SHORT_KEPT: Micros = 20_000_000;
-/// Pause between two looks whether a started node answers PING.
-const PING_AGAIN: Micros = 50_000;
-
-/// A class of requests as clients know it.
+/// Limit of connections for requests to one listener of a node.
+const MAX_CONNECTIONS: usize = 80;
+/// How long after its deadline a client still waits, so that a late answer is distinguished from a missing one.
+const GIVE_UP_MARGIN: Micros = 400_000;
+/// How long the short id of a request is not used again: an overloaded origin may carry out the request late.
+const SHORT_ID_REUSE_DELAY: Micros = 20_000_000;
+/// Pause between two checks whether a started node answers PING.
+const PING_INTERVAL: Micros = 50_000;
+
+/// The properties of a request class that clients use.
 #[derive(Clone, Debug)]
 pub struct Class {
     pub name: String,
-    /// Part of all requests.
+    /// Fraction of all requests, from 0 to 1.
     pub share: f64,
+    /// Longest time limit of a request, and the time after the first request in which a retry may start.
     pub deadline: Micros,
     pub write: bool,
-    /// Writes carry an idempotency key, and are retried by it after a failure.
+    /// Requests carry an idempotency key, with which clients retry them after a failure.
     pub keyed: bool,
-    /// May be asked again after any failure.
+    /// Clients may retry the request after any failure, without an idempotency key.
     pub free: bool,
 }
 
+/// Configuration of the client pool.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The RESP2 listener of each node.
     pub nodes: Vec<SocketAddr>,
-    /// Where the same nodes listen for the binary protocol.
+    /// The listener of each node for the memcached binary protocol.
     pub memcached: Vec<SocketAddr>,
     pub protocols: Clients,
-    /// Some peers see no more of a request than its short name.
+    /// Some cache servers identify a request only by its short id, so that clients must not reuse one early.
     pub short_names: bool,
     pub classes: Vec<Class>,
-    /// Names and parts of all traffic.
+    /// Name of each tenant and its fraction of all requests.
     pub tenants: Vec<(String, f64)>,
-    /// Requests a second over all nodes.
+    /// First requests per second, over all nodes; retries come on top.
     pub rate: f64,
+    /// Number of keys.
     pub keys: usize,
-    /// Exponent of the keys' popularity.
+    /// Exponent of the Zipf distribution of the keys' popularity.
     pub zipf: f64,
-    /// Part of the first tries that are asked again by the client, once.
+    /// Probability that a client retries a first request that failed and may be retried. It retries once.
     pub retries: f64,
+    /// Pause before a retry, unless the node's response states one.
     pub backoff: Micros,
-    /// Part of the requests whose client leaves before its time is up.
+    /// Fraction of the requests whose client disconnects before the deadline.
     pub impatient: f64,
-    /// No first tries after this.
+    /// Time after which no first requests start.
     pub until: Micros,
     pub seed: u64,
 }
 
+/// A command of the fault scheduler to the clients.
 #[derive(Clone, Copy, Debug)]
 pub enum ControlCommand {
-    /// So many times the usual rate.
+    /// Multiplies the configured request rate by this factor.
     Rate(f64),
-    /// So many keys take this part of all requests; none: as usual.
+    /// Directs this fraction of all requests to the first `keys` keys; a fraction of 0 restores the Zipf distribution.
     Hot { keys: usize, fraction: f64 },
-    /// The front has noticed that a node is gone.
+    /// The load balancer has noticed that a node is down, and sends no further requests to it.
     Down(usize),
-    /// A node has been started; it is used once it answers PING.
+    /// A node has been started; the load balancer uses it once it answers PING.
     Up(usize),
-    /// Part of the requests whose client leaves early.
+    /// Sets the fraction of the requests whose client disconnects early.
     Impatient(f64),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
+pub enum Timer {
+    /// The next first request starts.
     Arrival,
+    /// The client of this request stops waiting for an answer.
     GiveUp(u64),
-    Leave(u64),
+    /// The client of this request disconnects early.
+    Disconnect(u64),
+    /// The client retries this request.
     Retry(u64),
+    /// The load balancer checks whether this node answers PING.
     Ping(usize),
 }
 
-struct Try {
+/// A first request or a retry that has no answer yet.
+struct PendingRequest {
     id: Id,
+    /// Id of the first request: its own, or that of the request that it retries.
     first: Id,
     is_first: bool,
     node: usize,
@@ -104,165 +117,188 @@
     key: usize,
     idempotency_key: Option<Id>,
     budget: Micros,
-    /// When its first try began.
-    begun_first: Micros,
+    /// When the first request started.
+    first_at: Micros,
     conn: Option<usize>,
-    /// When it was first written.
-    written: Option<Micros>,
+    /// When this request was first written to a connection; None before that.
+    written_at: Option<Micros>,
+    /// It is sent again because its first connection closed.
     resent: bool,
-    /// The end of its first connection, which it crossed.
-    closed: Option<CrossedClose>,
+    /// The close of its first connection, if the request crossed it.
+    crossed_close: Option<CrossedClose>,
+    /// The encoded request.
     bytes: Bytes,
 }
 
-/// The end of a connection that a request crossed.
+impl PendingRequest {
+    /// Whether its client stops waiting; always if it was never written.
+    fn is_overdue(&self, now: Micros) -> bool {
+        self.written_at
+            .is_none_or(|at| now >= at + self.budget + GIVE_UP_MARGIN)
+    }
+}
+
+/// The close of a connection by a node while a request was on its way to that node.
 #[derive(Clone, Copy)]
 struct CrossedClose {
     node: usize,
-    /// How long after the request was written its client saw the end.
+    /// Time from the first write of the request until its client observed the close.
     after: Micros,
-    /// The first request on the connection.
+    /// Whether the request was the first one on the connection.
     is_first: bool,
 }
 
-/// Cuts what a node sends, in the protocol of the connection.
+/// Decodes the responses of a node, in the protocol of the connection.
 enum Reader {
     Resp(ReplyReader),
     Memcached(ResponseReader),
 }
 
-struct Conn {
+struct Connection {
     node: usize,
-    up: bool,
-    /// Requests answered on it.
-    done: u64,
+    is_connected: bool,
+    /// Number of requests answered on this connection.
+    answers: u64,
     reader: Reader,
-    job: Option<u64>,
-    ping: bool,
+    /// The request that waits for its answer on this connection.
+    request_number: Option<u64>,
+    /// The load balancer uses the connection to check whether the node answers PING.
+    is_ping: bool,
+    /// An answer has been received in part.
     partial: bool,
 }
 
-/// The crowd and the front before it.
+/// The clients and the load balancer in front of the nodes.
 pub struct ClientPool<N: SendTimes> {
-    port: Port<N, Due>,
-    set: Settings,
+    port: Port<N, Timer>,
+    settings: Settings,
     command_queue: CommandQueue<ControlCommand>,
     recorder: Recorder,
     rng: Rng,
-    rate: f64,
-    /// When the next first try is due.
-    due: Micros,
-    hot: (usize, f64),
-    cumulated: Vec<f64>,
-    up: Vec<bool>,
-    turn: usize,
-    tries: HashMap<u64, Try>,
+    /// Factor of the configured request rate.
+    rate_factor: f64,
+    /// When the next first request starts.
+    next_arrival: Micros,
+    /// Number of hot keys, and the fraction of all requests that they receive.
+    hot_keys: (usize, f64),
+    /// For each key, the sum of the weights of the keys up to it.
+    cumulative_weights: Vec<f64>,
+    /// Whether the load balancer sends requests to a node.
+    is_up: Vec<bool>,
+    /// The node that the load balancer chose last.
+    last_node: usize,
+    /// The requests without an answer, by number.
+    requests: HashMap<u64, PendingRequest>,
+    /// Requests that wait for a connection, by listener: the RESP2 listeners of all nodes, then the memcached ones.
     waiting: Vec<VecDeque<u64>>,
-    conns: HashMap<usize, Conn>,
-    /// By door: a node's RESP2 listener, then its memcached one.
+    conns: HashMap<usize, Connection>,
+    /// Idle connections, by listener.
     idle: Vec<Vec<usize>>,
+    /// Number of open connections, by listener.
     open: Vec<usize>,
-    /// Short names of late (lower halves of opaques), where that is all that some peer knows a request by.
-    shorts: HashSet<u16>,
-    shorts_used: VecDeque<(Micros, u16)>,
-    number: u64,
+    /// Recently used short ids (lower halves of opaques), if some cache server identifies requests only by those.
+    recent_short_ids: HashSet<u16>,
+    /// The recently used short ids and when each was assigned, oldest first.
+    short_id_times: VecDeque<(Micros, u16)>,
+    /// Number of the latest request.
+    last_number: u64,
     events: Vec<(usize, ConnectionEvent)>,
 }
 
 impl<N: SendTimes> ClientPool<N> {
     pub fn new(
         net: N,
-        set: Settings,
+        settings: Settings,
         command_queue: CommandQueue<ControlCommand>,
         recorder: Recorder,
     ) -> ClientPool<N> {
         let mut port = Port::new(net);
-        let nodes = set.nodes.len();
+        let nodes = settings.nodes.len();
         let mut sum = 0.0;
-        let cumulated = (1..=set.keys)
+        let cumulative_weights = (1..=settings.keys)
             .map(|rank| {
-                sum += 1.0 / (rank as f64).powf(set.zipf);
+                sum += 1.0 / (rank as f64).powf(settings.zipf);
                 sum
             })
             .collect();
-        port.set_timer(port.now(), Due::Arrival);
-        (0..nodes).for_each(|node| port.set_timer(port.now(), Due::Ping(node)));
-        let rng = Rng::stream(set.seed, "clients", 0);
+        port.set_timer(port.now(), Timer::Arrival);
+        (0..nodes).for_each(|node| port.set_timer(port.now(), Timer::Ping(node)));
+        let rng = Rng::stream(settings.seed, "clients", 0);
         ClientPool {
             port,
-            set,
+            settings,
             command_queue,
             recorder,
             rng,
-            rate: 1.0,
-            due: 0,
-            hot: (0, 0.0),
-            cumulated,
-            up: vec![false; nodes],
-            turn: 0,
-            tries: HashMap::new(),
+            rate_factor: 1.0,
+            next_arrival: 0,
+            hot_keys: (0, 0.0),
+            cumulative_weights,
+            is_up: vec![false; nodes],
+            last_node: 0,
+            requests: HashMap::new(),
             waiting: vec![VecDeque::new(); 2 * nodes],
             conns: HashMap::new(),
             idle: vec![Vec::new(); 2 * nodes],
             open: vec![0; 2 * nodes],
-            shorts: HashSet::new(),
-            shorts_used: VecDeque::new(),
-            number: 0,
+            recent_short_ids: HashSet::new(),
+            short_id_times: VecDeque::new(),
+            last_number: 0,
             events: Vec::new(),
         }
     }
 
-    fn key(&mut self) -> usize {
-        if self.rng.chance(self.hot.1) {
-            return self.rng.below(self.hot.0.max(1));
+    fn draw_key(&mut self) -> usize {
+        if self.rng.chance(self.hot_keys.1) {
+            return self.rng.below(self.hot_keys.0.max(1));
         }
-        let at = self.rng.unit_interval() * self.cumulated.last().copied().unwrap_or(0.0);
-        self.cumulated
+        let at = self.rng.unit_interval() * self.cumulative_weights.last().copied().unwrap_or(0.0);
+        self.cumulative_weights
             .partition_point(|sum| *sum < at)
-            .min(self.set.keys.saturating_sub(1))
+            .min(self.settings.keys.saturating_sub(1))
     }
 
-    fn arrive(&mut self) {
-        // Counted from when this one was due: a busy machine must not thin out the load.
-        self.due += (self
+    fn start_request(&mut self) {
+        // Counted from the scheduled time of this request, so that a busy machine does not lower the rate.
+        self.next_arrival += (self
             .rng
-            .exponential(1e6 / (self.set.rate * self.rate).max(0.001)))
+            .exponential(1e6 / (self.settings.rate * self.rate_factor).max(0.001)))
             as Micros;
-        if self.due < self.set.until {
-            self.port.set_timer(self.due, Due::Arrival);
+        if self.next_arrival < self.settings.until {
+            self.port.set_timer(self.next_arrival, Timer::Arrival);
         }
         let mut at = self.rng.unit_interval();
-        let class = self.set.classes.iter().position(|c| {
-            at -= c.share;
+        let class = self.settings.classes.iter().position(|class| {
+            at -= class.share;
             at < 0.0
         });
         let mut at = self.rng.unit_interval();
-        let tenant = self.set.tenants.iter().position(|(_, share)| {
+        let tenant = self.settings.tenants.iter().position(|(_, share)| {
             at -= share;
             at < 0.0
         });
         let class = class.unwrap_or(0);
-        let key = self.key();
-        let idempotency_key = self.set.classes[class]
+        let key = self.draw_key();
+        let idempotency_key = self.settings.classes[class]
             .keyed
             .then(|| Id::from(format!("{:016x}", self.rng.next_u64())));
-        let budget = self.set.classes[class].deadline as f64 * self.rng.between(0.7, 1.0);
-        let tenant = if self.by_key() {
-            key % self.set.tenants.len()
+        let budget = self.settings.classes[class].deadline as f64 * self.rng.between(0.7, 1.0);
+        let tenant = if self.is_classified_by_key() {
+            key % self.settings.tenants.len()
         } else {
             tenant.unwrap_or(0)
         };
-        self.ask(None, class, tenant, key, idempotency_key, budget as Micros);
+        self.send_request(None, class, tenant, key, idempotency_key, budget as Micros);
     }
 
-    /// What a request is follows from its key alone.
-    fn by_key(&self) -> bool {
-        self.set.protocols != Clients::Resp
+    /// Whether a request's key alone determines its class and tenant.
+    fn is_classified_by_key(&self) -> bool {
+        self.settings.protocols != Clients::Resp
     }
 
-    /// Asks for the first time, or again for `first` (its id, when it began, and whether by the binary protocol: a
-    /// client does not change that).
-    fn ask(
+    /// Sends a first request, or a retry of `first`: its id, when it started, and whether it used the memcached binary
+    /// protocol (a retry uses the protocol of the first request).
+    fn send_request(
         &mut self,
         first: Option<(Id, Micros, bool)>,
         class: usize,
@@ -274,24 +310,26 @@
         // No node is up: the load balancer has nowhere to send this.
         let Some(node) = self.next_node() else { return };
         let now = self.port.now();
-        self.number += 1;
-        let memcached = match self.set.protocols {
+        self.last_number += 1;
+        let memcached = match self.settings.protocols {
             Clients::Resp | Clients::RespByKey => false,
             Clients::Memcached => true,
             Clients::Both => first
                 .as_ref()
-                .map_or(self.number.is_multiple_of(2), |(.., memcached)| *memcached),
+                .map_or(self.last_number.is_multiple_of(2), |(.., memcached)| {
+                    *memcached
+                }),
         };
         let id = self.new_id(now, memcached);
-        let number = self.number;
-        // No protocol field holds the remaining time where the key selects the class: it begins anew.
-        let budget = if self.by_key() {
-            self.set.classes[class].deadline
+        let number = self.last_number;
+        // If the key selects the class, the request has no field for the remaining time: its budget starts anew.
+        let budget = if self.is_classified_by_key() {
+            self.settings.classes[class].deadline
         } else {
             budget
         };
-        let value = self.value(class, idempotency_key.as_ref());
-        let key_name = if self.by_key() {
+        let value = self.draw_value(class, idempotency_key.as_ref());
+        let key_name = if self.is_classified_by_key() {
             format!("{}/{tenant}/{key:05}", KEY_PREFIXES[class])
         } else {
             format!("logger/{key:05}")
@@ -299,17 +337,17 @@
         let out = if memcached {
             self.memcached_request(class, number, key_name, value)
         } else {
-            let mut fields = self.fields(class, tenant, idempotency_key.as_ref(), budget);
-            if first.is_some() && !self.by_key() {
+            let mut fields = self.resp_fields(class, tenant, idempotency_key.as_ref(), budget);
+            if first.is_some() && !self.is_classified_by_key() {
                 fields += ",r=1";
             }
             self.resp_request(class, &[&key_name, &id, &fields], &value)
         };
         let is_first = first.is_none();
-        let (first, begun_first, _) = first.unwrap_or((id.clone(), now, memcached));
-        self.tries.insert(
+        let (first, first_at, _) = first.unwrap_or((id.clone(), now, memcached));
+        self.requests.insert(
             number,
-            Try {
+            PendingRequest {
                 id,
                 first,
                 is_first,
@@ -320,32 +358,32 @@
                 key,
                 idempotency_key,
                 budget,
-                begun_first,
+                first_at,
                 conn: None,
-                written: None,
+                written_at: None,
                 resent: false,
-                closed: None,
+                crossed_close: None,
                 bytes: out.into(),
             },
         );
-        self.set_end(number, budget);
+        self.set_timers(number, budget);
         self.dispatch(number);
     }
 
-    /// Sets when a client gives up, and when it leaves if it is impatient.
-    fn set_end(&mut self, number: u64, budget: Micros) {
+    /// Sets when the client of a request stops waiting, and for some clients when they disconnect early.
+    fn set_timers(&mut self, number: u64, budget: Micros) {
         let now = self.port.now();
         self.port
-            .set_timer(now + budget + LISTEN_ON, Due::GiveUp(number));
-        if self.rng.chance(self.set.impatient) {
+            .set_timer(now + budget + GIVE_UP_MARGIN, Timer::GiveUp(number));
+        if self.rng.chance(self.settings.impatient) {
             let early = self.rng.unit_interval() * budget as f64 * 0.5;
             self.port
-                .set_timer(now + early as Micros, Due::Leave(number));
+                .set_timer(now + early as Micros, Timer::Disconnect(number));
         }
     }
 
     /// The fields of a RESP2 request.
-    fn fields(
+    fn resp_fields(
         &self,
         class: usize,
         tenant: usize,
@@ -354,8 +392,8 @@
     ) -> String {
         let mut fields = format!(
             "c={},t={},d={}",
-            self.set.classes[class].name,
-            self.set.tenants[tenant].0,
+            self.settings.classes[class].name,
+            self.settings.tenants[tenant].0,
             (budget + 999) / 1000
         );
         if let Some(idempotency_key) = idempotency_key {
@@ -367,56 +405,58 @@
 
     /// The next node that is up, round robin.
     fn next_node(&mut self) -> Option<usize> {
-        let nodes = self.up.len();
+        let nodes = self.is_up.len();
         let node = (1..=nodes)
-            .map(|i| (self.turn + i) % nodes)
-            .find(|n| self.up[*n])?;
-        self.turn = node;
+            .map(|i| (self.last_node + i) % nodes)
+            .find(|n| self.is_up[*n])?;
+        self.last_node = node;
         Some(node)
     }
 
-    /// An id for a new request; its short name was not used lately, where some peer sees only that.
+    /// Returns an id for a new request. If some cache server sees only the short id, that was not used recently.
     fn new_id(&mut self, now: Micros, memcached: bool) -> Id {
         let mut word = self.rng.next_u64();
         let mut id = Id::from(format!("{word:016x}"));
-        if self.set.short_names {
+        if self.settings.short_names {
             while self
-                .shorts_used
+                .short_id_times
                 .front()
-                .is_some_and(|(at, _)| now - at > SHORT_KEPT)
+                .is_some_and(|(at, _)| now - at > SHORT_ID_REUSE_DELAY)
             {
-                self.shorts_used
+                self.short_id_times
                     .pop_front()
-                    .map(|(_, short)| self.shorts.remove(&short));
+                    .map(|(_, short)| self.recent_short_ids.remove(&short));
             }
             loop {
                 if memcached {
-                    id = memcached_request_id(self.number as u32);
+                    id = memcached_request_id(self.last_number as u32);
                 }
                 let short = opaque_of(&id) as u16;
-                // All in use: no day here asks so much.
-                if self.shorts.insert(short) || self.shorts.len() > usize::from(u16::MAX) {
-                    self.shorts_used.push_back((now, short));
+                // The second condition holds if all short ids are in use; no run sends enough requests for that.
+                if self.recent_short_ids.insert(short)
+                    || self.recent_short_ids.len() > usize::from(u16::MAX)
+                {
+                    self.short_id_times.push_back((now, short));
                     break;
                 }
-                // No draw more than the others take: the same seed is to give the same day.
+                // Derived from the same draw: an additional draw would change all later draws of this seed's run.
                 word = word.wrapping_add(1);
                 id = Id::from(format!("{word:016x}"));
-                self.number += 1;
+                self.last_number += 1;
             }
         }
         id
     }
 
-    /// The value of a write. Where requests are told apart by their values only, each request for the same thing has
-    /// the same.
-    fn value(&mut self, class: usize, idempotency_key: Option<&Id>) -> Vec<u8> {
+    /// Returns the value of a write. If only the value distinguishes writes (their idempotency key is derived from it),
+    /// a write and its retry have the same value.
+    fn draw_value(&mut self, class: usize, idempotency_key: Option<&Id>) -> Vec<u8> {
         let distinct = idempotency_key
             .cloned()
-            .filter(|_| self.by_key())
+            .filter(|_| self.is_classified_by_key())
             .unwrap_or_default();
         let long = if distinct.is_empty() {
-            self.set.classes[class].write && self.rng.chance(0.05)
+            self.settings.classes[class].write && self.rng.chance(0.05)
         } else {
             distinct.starts_with('0')
         };
@@ -427,7 +467,7 @@
     }
 
     fn memcached_request(&self, class: usize, number: u64, key: String, value: Vec<u8>) -> Vec<u8> {
-        let write = self.set.classes[class].write;
+        let write = self.settings.classes[class].write;
         let (opcode, extras, value) = if write {
             let flags_and_expiry = Bytes::from_static(&[0; 8]);
             (Opcode::Set, flags_and_expiry, Bytes::from(value))
@@ -447,9 +487,9 @@
         out
     }
 
-    /// `words`: key, id and fields.
+    /// Encodes a request; `words` are its key, id and fields.
     fn resp_request(&self, class: usize, words: &[&str; 3], value: &[u8]) -> Vec<u8> {
-        let write = self.set.classes[class].write;
+        let write = self.settings.classes[class].write;
         let mut out = Vec::with_capacity(160);
         write_header(&mut out, b'*', if write { 5 } else { 4 });
         write_bulk(&mut out, if write { b"C.SET" } else { b"C.GET" });
@@ -462,48 +502,60 @@
         out
     }
 
-    /// Sends a try on an idle connection, on a new one, or when one is free.
+    /// Sends a request on an idle connection, or on a new one, or queues it until a connection is free.
     fn dispatch(&mut self, number: u64) {
-        let Some((node, memcached)) = self.tries.get(&number).map(|t| (t.node, t.memcached)) else {
+        let Some((node, memcached)) = self.requests.get(&number).map(|r| (r.node, r.memcached))
+        else {
             return;
         };
         let listener = self.listener(node, memcached);
         while let Some(conn) = self.idle[listener].pop() {
-            if self.port.connection(conn).is_some() && self.conns.get(&conn).is_some_and(|c| c.up) {
-                return self.write(conn, number);
+            if self.port.connection(conn).is_some()
+                && self.conns.get(&conn).is_some_and(|c| c.is_connected)
+            {
+                return self.write_request(conn, number);
             }
         }
-        if self.open[listener] >= CONNS_MOST {
+        if self.open[listener] >= MAX_CONNECTIONS {
             return self.waiting[listener].push_back(number);
         }
         let to = if memcached {
-            self.set.memcached[node]
+            self.settings.memcached[node]
         } else {
-            self.set.nodes[node]
+            self.settings.nodes[node]
         };
         match self.port.connect(to) {
             Ok(conn) => {
                 self.open[listener] += 1;
-                self.hold(conn, node, Some(number), false);
+                self.add_connection(conn, node, Some(number), false);
             }
-            Err(_) => self.ended(number, false, true, true),
+            Err(_) => self.request_interrupted(number, false, true, true),
         }
     }
 
     fn listener(&self, node: usize, memcached: bool) -> usize {
-        node + if memcached { self.up.len() } else { 0 }
+        node + if memcached { self.is_up.len() } else { 0 }
     }
 
-    /// The door that a connection goes to.
+    /// Returns the listener that a connection goes to.
     fn listener_of(&self, conn: usize) -> Option<usize> {
-        let c = self.conns.get(&conn)?;
-        Some(self.listener(c.node, matches!(c.reader, Reader::Memcached(_))))
+        let connection = self.conns.get(&conn)?;
+        Some(self.listener(
+            connection.node,
+            matches!(connection.reader, Reader::Memcached(_)),
+        ))
     }
 
-    fn hold(&mut self, conn: usize, node: usize, job: Option<u64>, ping: bool) {
-        let memcached = job
-            .and_then(|n| self.tries.get(&n))
-            .is_some_and(|t| t.memcached);
+    fn add_connection(
+        &mut self,
+        conn: usize,
+        node: usize,
+        request_number: Option<u64>,
+        is_ping: bool,
+    ) {
+        let memcached = request_number
+            .and_then(|n| self.requests.get(&n))
+            .is_some_and(|request| request.memcached);
         let reader = if memcached {
             Reader::Memcached(ResponseReader::default())
         } else {
@@ -511,374 +563,388 @@
         };
         self.conns.insert(
             conn,
-            Conn {
+            Connection {
                 node,
-                up: false,
-                done: 0,
+                is_connected: false,
+                answers: 0,
                 reader,
-                job,
-                ping,
+                request_number,
+                is_ping,
                 partial: false,
             },
         );
-        if let Some(t) = job.and_then(|n| self.tries.get_mut(&n)) {
-            t.conn = Some(conn);
+        if let Some(request) = request_number.and_then(|n| self.requests.get_mut(&n)) {
+            request.conn = Some(conn);
         }
     }
 
-    fn write(&mut self, conn: usize, number: u64) {
-        let Some(t) = self.tries.get_mut(&number) else {
+    fn write_request(&mut self, conn: usize, number: u64) {
+        let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        t.conn = Some(conn);
-        if t.written.is_none() {
-            // A request's time counts from its last byte, however long its connection took to come up.
+        request.conn = Some(conn);
+        if request.written_at.is_none() {
+            // The time limit counts from when the request is written, however long its connection took to open.
             let now = self.port.now();
-            t.written = Some(now);
+            request.written_at = Some(now);
             self.port
-                .set_timer(now + t.budget + LISTEN_ON, Due::GiveUp(number));
+                .set_timer(now + request.budget + GIVE_UP_MARGIN, Timer::GiveUp(number));
         }
-        if let Some(c) = self.conns.get_mut(&conn) {
-            c.job = Some(number);
+        if let Some(connection) = self.conns.get_mut(&conn) {
+            connection.request_number = Some(number);
         }
-        let bytes = t.bytes.clone();
-        let what = if t.resent {
+        let bytes = request.bytes.clone();
+        let event = if request.resent {
             Event::Resent {
-                id: t.id.clone(),
-                node: t.node,
+                id: request.id.clone(),
+                node: request.node,
             }
         } else {
             Event::RequestSent {
-                id: t.id.clone(),
-                node: t.node,
-                class: t.class,
-                tenant: t.tenant,
-                key: t.key,
-                idempotency_key: t.idempotency_key.clone(),
-                first: t.first.clone(),
-                budget: t.budget,
+                id: request.id.clone(),
+                node: request.node,
+                class: request.class,
+                tenant: request.tenant,
+                key: request.key,
+                idempotency_key: request.idempotency_key.clone(),
+                first: request.first.clone(),
+                budget: request.budget,
             }
         };
-        self.recorder.record(self.port.unix(), what);
+        self.recorder.record(self.port.unix(), event);
         self.port.send(conn, bytes);
     }
 
-    fn read(&mut self, conn: usize) {
+    fn handle_received(&mut self, conn: usize) {
         loop {
-            let Some(c) = self.conns.get_mut(&conn) else {
+            let Some(connection) = self.conns.get_mut(&conn) else {
                 return;
             };
             let Some(line) = self.port.connection(conn) else {
                 return;
             };
-            let next = match &mut c.reader {
+            let next = match &mut connection.reader {
                 Reader::Resp(reader) => match reader.next(&mut line.buf) {
                     Ok(Some(DecodeEvent::Complete(reply))) => {
                         Ok(Some(Some(NodeReply::Resp(reply))))
                     }
                     Ok(Some(_)) => Ok(Some(None)),
                     Ok(None) => Ok(None),
-                    Err(broken) => Err(broken.message()),
+                    Err(error) => Err(error.message()),
                 },
-                Reader::Memcached(reader) => match reader.next(&mut line.buf, MAX_BODY) {
+                Reader::Memcached(reader) => match reader.next(&mut line.buf, MAX_BODY_BYTES) {
                     Ok(Some(memcached::DecodeEvent::Complete(response))) => {
                         Ok(Some(Some(NodeReply::Memcached(response))))
                     }
                     Ok(Some(_)) => Ok(Some(None)),
                     Ok(None) => Ok(None),
-                    Err(broken) => Err(broken.kind.message()),
+                    Err(error) => Err(error.kind.message()),
                 },
             };
             match next {
-                Ok(Some(Some(reply))) => self.replied(conn, reply),
-                Ok(Some(None)) => c.partial = true,
+                Ok(Some(Some(reply))) => self.handle_reply(conn, reply),
+                Ok(Some(None)) => connection.partial = true,
                 Ok(None) => {
-                    let is_mid_message = match &c.reader {
+                    let is_mid_message = match &connection.reader {
                         Reader::Resp(reader) => reader.is_mid_message(),
                         Reader::Memcached(reader) => reader.is_mid_message(),
                     };
-                    c.partial = is_mid_message || !line.buf.is_empty();
+                    connection.partial = is_mid_message || !line.buf.is_empty();
                     return;
                 }
-                Err(broken) => {
-                    let bytes = broken.to_string();
+                Err(error) => {
+                    let bytes = error.to_string();
                     self.recorder.record(
                         self.port.unix(),
                         Event::UnsolicitedBytes {
-                            node: c.node,
+                            node: connection.node,
                             bytes,
                         },
                     );
-                    return self.lost(conn);
+                    return self.handle_close(conn);
                 }
             }
         }
     }
 
-    fn replied(&mut self, conn: usize, reply: NodeReply) {
-        let Some(c) = self.conns.get_mut(&conn) else {
+    fn handle_reply(&mut self, conn: usize, reply: NodeReply) {
+        let Some(connection) = self.conns.get_mut(&conn) else {
             return;
         };
-        let node = c.node;
-        if std::mem::take(&mut c.ping) {
+        let node = connection.node;
+        if std::mem::take(&mut connection.is_ping) {
             if matches!(&reply, NodeReply::Resp(Reply::Single(Element::Simple(text))) if text == "PONG")
             {
-                self.up[node] = true;
+                self.is_up[node] = true;
                 self.recorder
                     .record(self.port.unix(), Event::NodeReady { node });
-                if self.by_key() {
-                    // Pings go to the RESP2 door; no protocol is to have a connection before the other.
+                if self.is_classified_by_key() {
+                    // Pings use the RESP2 listener. The connection is closed so that neither protocol has an open
+                    // connection before the other.
                     self.port.close(conn);
                     self.conns.remove(&conn);
                     return;
                 }
                 self.open[node] += 1;
-                return self.rest(conn);
+                return self.release_connection(conn);
             }
             self.port.close(conn);
             self.conns.remove(&conn);
             return self
                 .port
-                .set_timer(self.port.now() + PING_AGAIN, Due::Ping(node));
+                .set_timer(self.port.now() + PING_INTERVAL, Timer::Ping(node));
         }
-        let Some(number) = c.job.take() else {
+        let Some(number) = connection.request_number.take() else {
             let bytes = format!("{reply:?}").chars().take(120).collect();
             self.recorder
                 .record(self.port.unix(), Event::UnsolicitedBytes { node, bytes });
             return;
         };
-        c.done += 1;
-        let Some(t) = self.tries.remove(&number) else {
+        connection.answers += 1;
+        let Some(request) = self.requests.remove(&number) else {
             return;
         };
-        let write = self.set.classes[t.class].write;
+        let write = self.settings.classes[request.class].write;
         let answer = match reply {
-            NodeReply::Resp(reply) => answer_of(&reply, &t.id, write),
+            NodeReply::Resp(reply) => resp_answer(&reply, &request.id, write),
             NodeReply::Memcached(response) => {
-                memcached_answer(&response, &t.id, number as u32, write)
+                memcached_answer(&response, &request.id, number as u32, write)
             }
         };
         self.recorder.record(
             self.port.unix(),
             Event::Answered {
-                id: t.id.clone(),
+                id: request.id.clone(),
                 answer: answer.clone(),
             },
         );
-        self.rest(conn);
-        self.again(t, &answer);
+        self.release_connection(conn);
+        self.retry_if_allowed(request, &answer);
     }
 
-    /// A connection is free.
-    fn rest(&mut self, conn: usize) {
+    /// Uses a connection for the next waiting request, or marks it as idle.
+    fn release_connection(&mut self, conn: usize) {
         let Some(listener) = self.listener_of(conn) else {
             return;
         };
         match self.waiting[listener].pop_front() {
-            Some(number) => self.write(conn, number),
+            Some(number) => self.write_request(conn, number),
             None => self.idle[listener].push(conn),
         }
     }
 
-    /// Asks again where clients do.
-    fn again(&mut self, t: Try, answer: &Answer) {
-        let c = &self.set.classes[t.class];
-        let harmless = match answer {
+    /// Schedules a retry if the answer and the class allow one and the client draws one.
+    fn retry_if_allowed(&mut self, request: PendingRequest, answer: &Answer) {
+        let class = &self.settings.classes[request.class];
+        let is_retryable = match answer {
             Answer::Busy(_) => true,
-            Answer::Failed => c.free || c.keyed,
+            Answer::Failed => class.free || class.keyed,
             _ => false,
         };
-        if !t.is_first || !harmless || !self.rng.chance(self.set.retries) {
+        if !request.is_first || !is_retryable || !self.rng.chance(self.settings.retries) {
             return;
         }
         let wait = match answer {
             Answer::Busy(Some(ms)) => (*ms as Micros * 1000).min(1_000_000),
-            _ => self.set.backoff,
+            _ => self.settings.backoff,
         };
         let now = self.port.now();
-        if now + wait - t.begun_first < c.deadline {
-            self.number += 1;
-            self.port.set_timer(now + wait, Due::Retry(self.number));
-            self.tries.insert(self.number, Try { conn: None, ..t });
+        if now + wait - request.first_at < class.deadline {
+            self.last_number += 1;
+            self.port
+                .set_timer(now + wait, Timer::Retry(self.last_number));
+            self.requests.insert(
+                self.last_number,
+                PendingRequest {
+                    conn: None,
+                    ..request
+                },
+            );
         }
     }
 
-    /// A connection has ended.
-    fn lost(&mut self, conn: usize) {
+    /// Handles the end of a connection.
+    fn handle_close(&mut self, conn: usize) {
         self.port.close(conn);
         let Some(listener) = self.listener_of(conn) else {
             return;
         };
-        let Some(c) = self.conns.remove(&conn) else {
+        let Some(connection) = self.conns.remove(&conn) else {
             return;
         };
         self.idle[listener].retain(|i| *i != conn);
-        if c.ping {
-            return self
-                .port
-                .set_timer(self.port.now() + PING_AGAIN, Due::Ping(c.node));
+        if connection.is_ping {
+            return self.port.set_timer(
+                self.port.now() + PING_INTERVAL,
+                Timer::Ping(connection.node),
+            );
         }
         self.open[listener] -= 1;
-        if let Some(number) = c.job {
-            if c.up && !c.partial && c.done == 0 {
-                if let Some(t) = self.tries.get(&number) {
-                    let (id, node) = (t.id.clone(), t.node);
+        if let Some(number) = connection.request_number {
+            if connection.is_connected && !connection.partial && connection.answers == 0 {
+                if let Some(request) = self.requests.get(&number) {
+                    let (id, node) = (request.id.clone(), request.node);
                     self.recorder
                         .record(self.port.unix(), Event::NewConnectionClosed { id, node });
                 }
             }
-            self.ended(number, c.partial, c.up, c.done == 0);
+            self.request_interrupted(
+                number,
+                connection.partial,
+                connection.is_connected,
+                connection.answers == 0,
+            );
         }
-        if self.open[listener] < CONNS_MOST {
+        if self.open[listener] < MAX_CONNECTIONS {
             if let Some(number) = self.waiting[listener].pop_front() {
                 self.dispatch(number);
             }
         }
     }
 
-    /// The connection of a try ended with no whole answer. `sent`: the try had been written to it; `is_first`: it was
-    /// the first one on it.
-    fn ended(&mut self, number: u64, partial: bool, sent: bool, is_first: bool) {
+    /// Handles the end of a request's connection without a complete answer. `partial`: a part of the answer had been
+    /// received; `sent`: the request had been written to the connection; `is_first`: it was the first one on it.
+    fn request_interrupted(&mut self, number: u64, partial: bool, sent: bool, is_first: bool) {
         let now = self.port.now();
-        let Some(t) = self.tries.get_mut(&number) else {
+        let Some(request) = self.requests.get_mut(&number) else {
             return;
         };
-        t.conn = None;
+        request.conn = None;
         if !sent {
-            // It never left: the node is unreachable, and the client is free to ask elsewhere.
-            let Some(t) = self.tries.remove(&number) else {
+            // The request was not sent: the node is unreachable, and the client may retry at another node.
+            let Some(request) = self.requests.remove(&number) else {
                 return;
             };
-            if t.resent {
-                // The first time it did leave.
+            if request.resent {
+                // It had been sent on its first connection.
                 let answer = Answer::Ended { partial: false };
                 self.recorder.record(
                     self.port.unix(),
                     Event::Answered {
-                        id: t.id.clone(),
+                        id: request.id.clone(),
                         answer,
                     },
                 );
-                return self.again(t, &Answer::Failed);
+                return self.retry_if_allowed(request, &Answer::Failed);
             }
-            return self.again(t, &Answer::Busy(None));
-        }
-        let c = &self.set.classes[t.class];
-        // What may not be repeated is not: the node may have read it.
-        if !partial && !t.resent && (c.free || c.keyed) {
-            // A node may close a connection between requests; what crossed that is sent once more.
-            t.resent = true;
-            t.closed = Some(CrossedClose {
-                node: t.node,
-                after: now - t.written.unwrap_or(now),
+            return self.retry_if_allowed(request, &Answer::Busy(None));
+        }
+        let class = &self.settings.classes[request.class];
+        // A request that may not be repeated is not resent: the node may have read it.
+        if !partial && !request.resent && (class.free || class.keyed) {
+            // A node may close a connection between requests; a request that crossed the close is resent once.
+            request.resent = true;
+            request.crossed_close = Some(CrossedClose {
+                node: request.node,
+                after: now - request.written_at.unwrap_or(now),
                 is_first,
             });
-            let nodes = self.up.len();
+            let nodes = self.is_up.len();
             let up = (0..nodes)
-                .map(|i| (t.node + i) % nodes)
-                .find(|n| self.up[*n]);
+                .map(|i| (request.node + i) % nodes)
+                .find(|n| self.is_up[*n]);
             if let Some(node) = up {
-                t.node = node;
+                request.node = node;
                 return self.dispatch(number);
             }
         }
-        let Some(t) = self.tries.remove(&number) else {
+        let Some(request) = self.requests.remove(&number) else {
             return;
         };
         self.recorder.record(
             self.port.unix(),
             Event::Answered {
-                id: t.id.clone(),
+                id: request.id.clone(),
                 answer: Answer::Ended { partial },
             },
         );
-        self.again(t, &Answer::Failed);
+        self.retry_if_allowed(request, &Answer::Failed);
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrive(),
-            Due::GiveUp(number) => {
+    fn handle_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::Arrival => self.start_request(),
+            Timer::GiveUp(number) => {
                 let now = self.port.now();
-                let is_over = |t: &Try| t.written.is_none_or(|at| now >= at + t.budget + LISTEN_ON);
-                if !self.tries.get(&number).is_some_and(is_over) {
+                let is_overdue = |request: &PendingRequest| request.is_overdue(now);
+                if !self.requests.get(&number).is_some_and(is_overdue) {
                     return;
                 }
-                if let Some(t) = self.tries.remove(&number) {
-                    let listener = self.listener(t.node, t.memcached);
+                if let Some(request) = self.requests.remove(&number) {
+                    let listener = self.listener(request.node, request.memcached);
                     self.waiting[listener].retain(|n| *n != number);
-                    if let Some(conn) = t.conn {
-                        // No answer at all: its connection can't be used on.
-                        if let Some(c) = self.conns.get_mut(&conn) {
-                            c.job = None;
+                    if let Some(conn) = request.conn {
+                        // A late answer would be taken for the next request's, so the connection is not reused.
+                        if let Some(connection) = self.conns.get_mut(&conn) {
+                            connection.request_number = None;
                         }
-                        self.lost(conn);
+                        self.handle_close(conn);
                     }
                 }
             }
-            Due::Leave(number) => {
-                let Some(conn) = self.tries.get(&number).and_then(|t| t.conn) else {
+            Timer::Disconnect(number) => {
+                let Some(conn) = self.requests.get(&number).and_then(|r| r.conn) else {
                     return;
                 };
-                let written = self.conns.get(&conn).is_some_and(|c| c.up);
-                if let Some(t) = self.tries.remove(&number) {
-                    // A client that leaves while it connects anew has been ended by a node before.
-                    let closed = t.closed.filter(|_| !written);
+                let written = self.conns.get(&conn).is_some_and(|c| c.is_connected);
+                if let Some(request) = self.requests.remove(&number) {
+                    // A client that disconnects while it reconnects had its first connection closed by a node.
+                    let closed = request.crossed_close.filter(|_| !written);
                     let event = closed.map(|close| Event::ClosedUnanswered {
-                        id: t.id.clone(),
+                        id: request.id.clone(),
                         node: close.node,
                         after: close.after,
                         is_first: close.is_first,
                         partial: false,
                     });
-                    let left = written.then_some(Event::ClientDisconnected { id: t.id });
+                    let left = written.then_some(Event::ClientDisconnected { id: request.id });
                     if let Some(event) = event.or(left) {
                         self.recorder.record(self.port.unix(), event);
                     }
                 }
-                if let Some(c) = self.conns.get_mut(&conn) {
-                    c.job = None;
+                if let Some(connection) = self.conns.get_mut(&conn) {
+                    connection.request_number = None;
                 }
-                self.lost(conn);
+                self.handle_close(conn);
             }
-            Due::Retry(number) => {
-                let Some(t) = self.tries.remove(&number) else {
+            Timer::Retry(number) => {
+                let Some(r) = self.requests.remove(&number) else {
                     return;
                 };
-                let left = self.set.classes[t.class].deadline - (self.port.now() - t.begun_first);
+                let left = self.settings.classes[r.class].deadline - (self.port.now() - r.first_at);
                 if left > 0 {
-                    let (first, dedup) = ((t.first, t.begun_first, t.memcached), t.idempotency_key);
-                    self.ask(Some(first), t.class, t.tenant, t.key, dedup, left);
+                    let first = Some((r.first, r.first_at, r.memcached));
+                    self.send_request(first, r.class, r.tenant, r.key, r.idempotency_key, left);
                 }
             }
-            Due::Ping(node) => match self.port.connect(self.set.nodes[node]) {
-                Ok(conn) => self.hold(conn, node, None, true),
+            Timer::Ping(node) => match self.port.connect(self.settings.nodes[node]) {
+                Ok(conn) => self.add_connection(conn, node, None, true),
                 Err(_) => self
                     .port
-                    .set_timer(self.port.now() + PING_AGAIN, Due::Ping(node)),
+                    .set_timer(self.port.now() + PING_INTERVAL, Timer::Ping(node)),
             },
         }
     }
 
-    fn connected(&mut self, conn: usize) {
-        let Some(c) = self.conns.get_mut(&conn) else {
+    fn handle_connected(&mut self, conn: usize) {
+        let Some(connection) = self.conns.get_mut(&conn) else {
             return;
         };
-        c.up = true;
-        if c.ping {
+        connection.is_connected = true;
+        if connection.is_ping {
             return self
                 .port
                 .send(conn, Bytes::from_static(b"*1\r\n$4\r\nPING\r\n"));
         }
-        match c.job.take() {
-            Some(number) => self.write(conn, number),
-            None => self.rest(conn),
+        match connection.request_number.take() {
+            Some(number) => self.write_request(conn, number),
+            None => self.release_connection(conn),
         }
     }
 }
 
-/// Longest body of an answer.
-const MAX_BODY: usize = 5 << 20;
+/// Limit of the body of a memcached response, in bytes.
+const MAX_BODY_BYTES: usize = 5 << 20;
 
 #[derive(Debug)]
 enum NodeReply {
@@ -886,8 +952,8 @@
     Memcached(memcached::Response),
 }
 
-/// What a value says: it was made for this request, or for another.
-fn made_for(value: &Bytes, id: &Id) -> Answer {
+/// Checks whether a value was produced for this request: it begins with the id of its request.
+fn check_value(value: &Bytes, id: &Id) -> Answer {
     let made = |id: &str| value.starts_with(format!("{id}|").as_bytes());
     if made(id) || made(&short_id(opaque_of(id))) {
         Answer::Served
@@ -896,8 +962,8 @@
     }
 }
 
-/// What a RESP2 reply says about a request.
-pub(crate) fn answer_of(reply: &Reply, id: &Id, write: bool) -> Answer {
+/// Classifies the RESP2 reply to a request.
+pub(crate) fn resp_answer(reply: &Reply, id: &Id, write: bool) -> Answer {
     let value = match reply {
         Reply::Single(Element::Bulk(value)) => Some(value),
         Reply::Array(parts) => match parts.first() {
@@ -907,13 +973,13 @@
         Reply::Single(_) => None,
     };
     match (value, reply) {
-        // A box of the binary protocol gives no receipt.
+        // A memcached cache server acknowledges a write without a value.
         (Some(value), _) if value.is_empty() && write => Answer::Served,
-        (Some(value), _) => made_for(value, id),
+        (Some(value), _) => check_value(value, id),
         (None, Reply::Single(Element::Error(text))) if text.starts_with(b"BUSY") => {
             let ms = std::str::from_utf8(text)
                 .ok()
-                .and_then(|t| t.split(' ').nth(1)?.parse().ok());
+                .and_then(|text| text.split(' ').nth(1)?.parse().ok());
             Answer::Busy(ms)
         }
         _ => Answer::Failed,
@@ -926,7 +992,7 @@
     }
     match Status::from_code(r.status) {
         Some(Status::Ok) if write => Answer::Served,
-        Some(Status::Ok) => made_for(&r.value, id),
+        Some(Status::Ok) => check_value(&r.value, id),
         Some(Status::Busy) => {
             let text = std::str::from_utf8(&r.value).unwrap_or_default();
             let ms = text
@@ -942,29 +1008,31 @@
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
-        for (conn, what) in &events {
-            match what {
-                ConnectionEvent::Connected => self.connected(*conn),
-                ConnectionEvent::Received => self.read(*conn),
-                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.lost(*conn),
+        for (conn, event) in &events {
+            match event {
+                ConnectionEvent::Connected => self.handle_connected(*conn),
+                ConnectionEvent::Received => self.handle_received(*conn),
+                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => {
+                    self.handle_close(*conn);
+                }
                 ConnectionEvent::Accepted(_) => {}
             }
         }
         self.events = events;
-        while let Some(due) = self.port.pop_due() {
-            self.due(due);
+        while let Some(timer) = self.port.pop_due() {
+            self.handle_timer(timer);
         }
         Ok(())
     }
 
     fn prepare(&mut self) -> Option<Micros> {
-        while let Some(order) = self.command_queue.pop() {
-            match order {
-                ControlCommand::Rate(times) => self.rate = times,
-                ControlCommand::Hot { keys, fraction } => self.hot = (keys, fraction),
-                ControlCommand::Impatient(fraction) => self.set.impatient = fraction,
-                ControlCommand::Down(node) => self.up[node] = false,
-                ControlCommand::Up(node) => self.port.set_timer(self.port.now(), Due::Ping(node)),
+        while let Some(command) = self.command_queue.pop() {
+            match command {
+                ControlCommand::Rate(times) => self.rate_factor = times,
+                ControlCommand::Hot { keys, fraction } => self.hot_keys = (keys, fraction),
+                ControlCommand::Impatient(fraction) => self.settings.impatient = fraction,
+                ControlCommand::Down(node) => self.is_up[node] = false,
+                ControlCommand::Up(node) => self.port.set_timer(self.port.now(), Timer::Ping(node)),
             }
         }
         Some(self.port.next_due())
--- a/crates/testbed/src/emulators/persistent_clients.rs
+++ b/crates/testbed/src/emulators/persistent_clients.rs
@@ -14,7 +14,7 @@
 
 use crate::checker::observations::{Event, Id, Recorder};
 use crate::commands::CommandQueue;
-use crate::emulators::clients::{answer_of, Class, ControlCommand};
+use crate::emulators::clients::{resp_answer, Class, ControlCommand};
 use crate::port::{Actor, ConnectionEvent, Port, SendTimes};
 use crate::rng::Rng;
 
@@ -332,7 +332,7 @@
         connection.answers += 1;
         let (serial, is_idle) = (connection.serial, connection.pending.is_empty());
         let usage = self.connections.get(&key).and_then(|c| self.usage(c));
-        let answer = answer_of(reply, &request.id, request.write);
+        let answer = resp_answer(reply, &request.id, request.write);
         self.record(Event::Answered {
             id: request.id,
             answer,
