--- a/crates/testbed/src/emulators/cache_server/mod.rs
+++ b/crates/testbed/src/emulators/cache_server/mod.rs
@@ -1,6 +1,8 @@
-//! Emulator of a cache server, from the protocol page: work with a service time on one core, a bounded queue, a
-//! cold start, a connection cap and a cost for each new connection, read-through, writes passed to the origin,
-//! drain, and faults: corrupted and surplus answers, errors, stalls, slowness.
+//! Emulator of a cache server, as the protocol specification describes it.
+//!
+//! The server has one core with a service time for each request, a bounded queue, a cold start, a limit of connections
+//! and a cost for each new connection. It reads through to the origin, passes writes on to it, and can drain. Its faults
+//! are corrupted and surplus responses, errors, stalls and slowness.
 
 mod connections;
 mod origin_link;
@@ -21,193 +23,235 @@
 use crate::port::{Actor, ConnectionEvent, Cut, Port, SendTimes};
 use crate::rng::Rng;
 
+/// Configuration of a cache server.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The server's number in the run.
     pub number: usize,
+    /// The address that the server listens on.
     pub at: SocketAddr,
+    /// The address of the origin.
     pub origin: SocketAddr,
-    /// It speaks the memcached binary protocol.
+    /// The server uses the memcached binary protocol; if false, RESP2.
     pub memcached: bool,
-    /// Standard cores' work done in a microsecond, when warm.
+    /// Speed of the core when warm, relative to a standard core.
     pub speed: f64,
-    /// Mean work of a read and of a write, on a standard core.
+    /// Mean work of a read, on a standard core.
     pub read_work: Micros,
+    /// Mean work of a write, on a standard core.
     pub write_work: Micros,
-    /// Attempts that may wait; more are turned away.
+    /// Limit of waiting attempts; the server rejects further ones.
     pub queue_capacity: usize,
+    /// Limit of connections from nodes.
     pub connections: usize,
-    /// Work of a new connection.
+    /// Work of accepting a connection, on a standard core.
     pub handshake: Micros,
+    /// How long a connection may be idle before the server closes it.
     pub idle: Micros,
-    /// It has just started, with nothing kept.
+    /// The server has just started, with an empty cache.
     pub cold: bool,
-    /// The part of its capacity it starts with, and how long until it is warm.
+    /// Fraction of its capacity that a cold server starts with.
     pub cold_from: f64,
+    /// Time from the start of a cold server until it has its whole capacity.
     pub warm_after: Micros,
-    /// It falls over when sent so many times what it can do, for so long.
+    /// A cold server crashes when the work received during `fall` exceeds this multiple of its capacity in that time.
+    /// 0: it does not crash.
     pub fall_multiple: f64,
+    /// The length of the time window for `fall_multiple`.
     pub fall: Micros,
-    /// The part of reads of keys not asked for before that it holds from before the run, when not cold.
+    /// Fraction of the keys that a server which is not cold has in its cache when the run begins.
     pub initial_hit_fraction: f64,
     pub seed: u64,
 }
 
+/// A command of the fault scheduler to a cache server.
 #[derive(Clone, Copy, Debug)]
 pub enum ControlCommand {
-    /// It turns away what is new and finishes what it has.
+    /// Rejects new attempts and finishes those it has accepted.
     Drain,
+    /// Starts and completes no work for this long.
     Stall(Micros),
-    /// So many times slower.
+    /// Multiplies the time of all work by this factor.
     Slow(f64),
-    /// Parts of the answers that are spoilt, that bring more than belongs to them, that are errors.
+    /// Sets the fraction of the responses that are corrupted.
     Spoil(f64),
+    /// Sets the fraction of the responses that are followed by surplus bytes.
     Surplus(f64),
+    /// Sets the fraction of the responses that are errors.
     Errors(f64),
-    /// The ways to and from its nodes are cut, where the network itself can't do that.
+    /// Cuts the links to and from its nodes, for a network that can't do that itself.
     Cut(Cut),
-    /// It takes no new connections, and serves those it has.
+    /// Refuses new connections if true, and serves the open ones; false ends this.
     Refuse(bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// The core is done with what it works on.
-    Core(u64),
-    Origin,
-    Idle,
+pub enum Timer {
+    /// The core has completed the task with this number.
+    CoreDone(u64),
+    /// The server connects to the origin.
+    ConnectOrigin,
+    /// The server closes idle connections.
+    CloseIdle,
+    /// A stall has ended.
     StallOver,
-    /// More of a value without end.
+    /// The next piece of an endless value is sent on this connection (its index and serial number).
     Trickle(usize, u64),
 }
 
+/// An attempt that the server has received and not yet answered.
 #[derive(Debug)]
 struct Job {
     conn: usize,
+    /// Serial number of the connection, since indices are used again.
     serial: u64,
+    /// Number of the attempt in the run.
     attempt: u64,
     id: Id,
     key: Id,
     write: bool,
     idempotency_key: Option<Id>,
+    /// Work on a standard core.
     work: Micros,
-    over: Micros,
-    /// Memcached: what goes back with the answer.
+    /// When the node stops waiting.
+    expires_at: Micros,
+    /// The opaque that the response repeats; None for RESP2.
     opaque: Option<u32>,
 }
 
+/// The other end of a connection.
 enum Peer {
     Node {
         reader: Reader,
+        /// An attempt received on this connection has no response yet.
         busy: bool,
+        /// A corrupted response was sent, after which nothing more is read.
         corrupted: bool,
-        active: Micros,
+        /// When the last request was received or the last response was sent.
+        last_active: Micros,
     },
     Origin,
 }
 
+/// A cache server.
 pub struct CacheServer<N: SendTimes> {
-    port: Port<N, Due>,
-    set: Settings,
+    port: Port<N, Timer>,
+    settings: Settings,
     command_queue: CommandQueue<ControlCommand>,
     recorder: Recorder,
     rng: Rng,
-    began: Micros,
+    started_at: Micros,
     peers: HashMap<usize, Peer>,
+    /// Attempts that wait for the core.
     queue: VecDeque<Job>,
-    /// What the core works on: a job, or the greeting of a new connection.
+    /// The number of the core's current task, and its attempt; None in place of the attempt: the handshake of a new
+    /// connection.
     core: Option<(u64, Option<Job>)>,
-    greetings: usize,
-    core_number: u64,
-    attempts: u64,
+    /// Number of new connections whose handshake waits for the core.
+    pending_handshakes: usize,
+    /// Number of the latest task of the core.
+    last_core_task: u64,
+    /// Number of the latest attempt.
+    last_attempt: u64,
+    /// The connection to the origin, also while it is being opened.
     origin: Option<usize>,
     origin_up: bool,
     origin_reader: ReplyReader,
-    calls: HashMap<u64, Job>,
-    call: u64,
-    /// Keys with a fetch out.
+    /// Attempts that wait for the origin, by the number of the call.
+    origin_calls: HashMap<u64, Job>,
+    /// Number of the latest call to the origin.
+    last_origin_call: u64,
+    /// Number of fetches in flight for each key.
     fetching: HashMap<Id, u32>,
+    /// Version of each key that was fetched during the run.
     cached: HashMap<Id, u64>,
-    voided: HashSet<Id>,
-    void_parts: Vec<(u64, u64)>,
-    received: VecDeque<(Micros, Micros)>,
-    received_sum: Micros,
+    /// Keys that were invalidated and not fetched since.
+    invalidated: HashSet<Id>,
+    /// Invalidations of a fraction of all keys: keys per thousand, and the salt of the hash that selects them.
+    invalidated_fractions: Vec<(u64, u64)>,
+    /// Time and work of each attempt received within `Settings::fall`.
+    recent_work: VecDeque<(Micros, Micros)>,
+    recent_work_sum: Micros,
     draining: bool,
     stalled_until: Micros,
-    slow: f64,
-    spoil: f64,
-    surplus: f64,
-    errors: f64,
-    fallen: bool,
+    /// Factor of the time of all work.
+    slowdown: f64,
+    corrupted_fraction: f64,
+    surplus_fraction: f64,
+    error_fraction: f64,
+    has_crashed: bool,
     events: Vec<(usize, ConnectionEvent)>,
 }
 
 impl<N: SendTimes> CacheServer<N> {
+    /// Creates a server that listens.
+    ///
     /// # Errors
-    /// Its address cannot be listened on.
+    /// The server's address cannot be listened on.
     pub fn new(
         net: N,
-        set: Settings,
+        settings: Settings,
         command_queue: CommandQueue<ControlCommand>,
         recorder: Recorder,
     ) -> io::Result<CacheServer<N>> {
         let mut port = Port::new(net);
-        port.listen(set.at)?;
-        let began = port.now();
-        port.set_timer(began, Due::Origin);
-        port.set_timer(began + set.idle / 4, Due::Idle);
+        port.listen(settings.at)?;
+        let started_at = port.now();
+        port.set_timer(started_at, Timer::ConnectOrigin);
+        port.set_timer(started_at + settings.idle / 4, Timer::CloseIdle);
         recorder.record(
             port.unix(),
             Event::ServerStarted {
-                server: set.number,
-                cold: set.cold,
-                speed: set.speed,
+                server: settings.number,
+                cold: settings.cold,
+                speed: settings.speed,
             },
         );
-        let rng = Rng::stream(set.seed, "box", set.number);
-        // No two boxes give one number.
-        let attempts = (set.number as u64) << 40;
+        let rng = Rng::stream(settings.seed, "box", settings.number);
+        // Attempt numbers are unique over all servers of a run.
+        let last_attempt = (settings.number as u64) << 40;
         Ok(CacheServer {
             port,
-            set,
+            settings,
             command_queue,
             recorder,
             rng,
-            began,
+            started_at,
             peers: HashMap::new(),
             queue: VecDeque::new(),
             core: None,
-            greetings: 0,
-            core_number: 0,
-            attempts,
+            pending_handshakes: 0,
+            last_core_task: 0,
+            last_attempt,
             origin: None,
             origin_up: false,
             origin_reader: ReplyReader::default(),
-            calls: HashMap::new(),
-            call: 0,
+            origin_calls: HashMap::new(),
+            last_origin_call: 0,
             fetching: HashMap::new(),
             cached: HashMap::new(),
-            voided: HashSet::new(),
-            void_parts: Vec::new(),
-            received: VecDeque::new(),
-            received_sum: 0,
+            invalidated: HashSet::new(),
+            invalidated_fractions: Vec::new(),
+            recent_work: VecDeque::new(),
+            recent_work_sum: 0,
             draining: false,
             stalled_until: 0,
-            slow: 1.0,
-            spoil: 0.0,
-            surplus: 0.0,
-            errors: 0.0,
-            fallen: false,
+            slowdown: 1.0,
+            corrupted_fraction: 0.0,
+            surplus_fraction: 0.0,
+            error_fraction: 0.0,
+            has_crashed: false,
             events: Vec::new(),
         })
     }
 
-    fn due(&mut self, due: Due) {
-        match due {
-            Due::Core(number) => self.core_done(number),
-            Due::StallOver => self.start(),
-            Due::Origin => self.connect_origin(),
-            Due::Idle => self.close_idle(),
-            Due::Trickle(conn, serial) => self.trickle(conn, serial),
+    fn handle_timer(&mut self, timer: Timer) {
+        match timer {
+            Timer::CoreDone(number) => self.core_done(number),
+            Timer::StallOver => self.start_next_task(),
+            Timer::ConnectOrigin => self.connect_origin(),
+            Timer::CloseIdle => self.close_idle(),
+            Timer::Trickle(conn, serial) => self.send_trickle(conn, serial),
         }
     }
 }
@@ -216,51 +260,53 @@
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
-        for (conn, what) in &events {
-            if self.fallen {
+        for (conn, event) in &events {
+            if self.has_crashed {
                 break;
             }
-            let origin = matches!(self.peers.get(conn), Some(Peer::Origin));
-            match what {
-                ConnectionEvent::Accepted(_) => self.opened(*conn),
-                ConnectionEvent::Connected => self.origin_up |= origin,
-                ConnectionEvent::Received if origin => self.origin_bytes(*conn),
-                ConnectionEvent::Received => self.read(*conn),
-                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } if origin => {
+            let is_origin = matches!(self.peers.get(conn), Some(Peer::Origin));
+            match event {
+                ConnectionEvent::Accepted(_) => self.accept_connection(*conn),
+                ConnectionEvent::Connected => self.origin_up |= is_origin,
+                ConnectionEvent::Received if is_origin => self.read_origin(*conn),
+                ConnectionEvent::Received => self.read_requests(*conn),
+                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } if is_origin => {
                     self.peers.remove(conn);
-                    self.origin_lost();
+                    self.handle_origin_close();
+                }
+                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => {
+                    self.close_connection(*conn);
                 }
-                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.close(*conn),
             }
         }
         self.events = events;
-        while let Some(due) = self.port.pop_due().filter(|_| !self.fallen) {
-            self.due(due);
+        while let Some(timer) = self.port.pop_due().filter(|_| !self.has_crashed) {
+            self.handle_timer(timer);
         }
         Ok(())
     }
 
     fn prepare(&mut self) -> Option<Micros> {
         let now = self.port.now();
-        while let Some(order) = self.command_queue.pop() {
-            match order {
+        while let Some(command) = self.command_queue.pop() {
+            match command {
                 ControlCommand::Drain => self.draining = true,
                 ControlCommand::Stall(time) => {
                     self.stalled_until = now + time;
-                    self.port.set_timer(now + time, Due::StallOver);
+                    self.port.set_timer(now + time, Timer::StallOver);
                 }
-                ControlCommand::Slow(times) => self.slow = times,
-                ControlCommand::Spoil(fraction) => self.spoil = fraction,
-                ControlCommand::Surplus(fraction) => self.surplus = fraction,
-                ControlCommand::Errors(fraction) => self.errors = fraction,
+                ControlCommand::Slow(times) => self.slowdown = times,
+                ControlCommand::Spoil(fraction) => self.corrupted_fraction = fraction,
+                ControlCommand::Surplus(fraction) => self.surplus_fraction = fraction,
+                ControlCommand::Errors(fraction) => self.error_fraction = fraction,
                 ControlCommand::Cut(cut) => self.port.set_cut(cut),
                 ControlCommand::Refuse(true) => self.port.close_listeners(),
                 ControlCommand::Refuse(false) => {
-                    // Taken meanwhile by another, it stays closed to new ones.
-                    let _ = self.port.listen(self.set.at);
+                    // If another process has taken the address, the server goes on refusing connections.
+                    let _ = self.port.listen(self.settings.at);
                 }
             }
         }
-        (!self.fallen).then(|| self.port.next_due())
+        (!self.has_crashed).then(|| self.port.next_due())
     }
 }
--- a/crates/testbed/src/emulators/cache_server/requests.rs
+++ b/crates/testbed/src/emulators/cache_server/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of nodes, in RESP2 and the memcached binary protocol: reading them and taking them up.
+//! Requests from nodes, in RESP2 and the memcached binary protocol: decoding them and queueing their attempts.
 
 use std::collections::HashMap;
 
@@ -11,36 +11,39 @@
 use crate::checker::observations::{short_id, Event, Id};
 use crate::port::SendTimes;
 
-/// Memory for values of writes that wait.
+/// Limit of the bytes of one request's values.
 const MAX_VALUE_BYTES: usize = 8 << 20;
 
-/// How long a box works on what tells no time: longer than any node waits.
+/// Time limit of a request that states none (memcached): longer than any node waits.
 const MAX_WAIT: Micros = 2_500_000;
 
-/// Cuts what a node sends.
+/// Decodes what a node sends, in the server's protocol.
 pub(super) enum Reader {
     Resp(CommandReader),
     Memcached(RequestReader),
 }
 
+/// A decoded message of either protocol.
 enum Input {
     Command(Command),
     Request(memcached::Request),
 }
 
-/// What a node sent, in either protocol.
+/// A request of a node, from a message of either protocol.
 struct NodeRequest {
     id: Id,
     key: Id,
     write: bool,
     idempotency_key: Option<Id>,
-    /// How long the node waits.
+    /// How long the node waits for the response.
     wait: Micros,
+    /// The opaque of a memcached request; None for RESP2.
     opaque: Option<u32>,
 }
 
-/// A request's name: of a client that gave none, what its node made ends with the client's opaque.
-fn name(id: &str) -> Id {
+/// Returns the id by which the checker knows a request. If the client is a memcached client, which gives no id, the node
+/// made one that ends with the client's opaque.
+fn recorded_id(id: &str) -> Id {
     match id.strip_prefix('m').and_then(|rest| rest.rsplit_once('-')) {
         Some((_, opaque)) => short_id(u32::from_str_radix(opaque, 16).unwrap_or(0)),
         None => id.into(),
@@ -48,14 +51,14 @@
 }
 
 impl<N: SendTimes> CacheServer<N> {
-    pub(super) fn read(&mut self, conn: usize) {
+    pub(super) fn read_requests(&mut self, conn: usize) {
         loop {
             let (now, unix) = (self.port.now(), self.port.unix());
             let Some(Peer::Node {
                 reader,
                 busy,
                 corrupted,
-                active,
+                last_active,
                 ..
             }) = self.peers.get_mut(&conn)
             else {
@@ -79,12 +82,12 @@
             let next = match reader {
                 Reader::Resp(reader) => match reader.next(&mut line.buf, &mut budget) {
                     Ok(command) => Ok(command.map(Input::Command)),
-                    Err(broken) => Err(broken.message()),
+                    Err(error) => Err(error.message()),
                 },
                 Reader::Memcached(reader) => {
                     match reader.next(&mut line.buf, &mut budget, MAX_VALUE_BYTES) {
                         Ok(request) => Ok(request.map(Input::Request)),
-                        Err(broken) => Err(broken.kind.message()),
+                        Err(error) => Err(error.kind.message()),
                     }
                 }
             };
@@ -93,27 +96,29 @@
             }
             match next {
                 Ok(Some(input)) => {
-                    *active = now;
+                    *last_active = now;
                     match input {
-                        Input::Command(command) => self.command(conn, &command, first_byte),
-                        Input::Request(request) => self.request(conn, &request, first_byte),
+                        Input::Command(command) => self.handle_command(conn, &command, first_byte),
+                        Input::Request(request) => {
+                            self.handle_memcached_request(conn, &request, first_byte);
+                        }
                     }
                 }
                 Ok(None) => return,
-                Err(broken) => {
-                    self.unreadable(first, broken.to_string());
-                    return self.close(conn);
+                Err(error) => {
+                    self.report_unreadable(first, error.to_string());
+                    return self.close_connection(conn);
                 }
             }
         }
     }
 
-    /// Reports bytes that cannot be read; `first`: the first byte of the message.
-    pub(super) fn unreadable(&mut self, first: Option<u8>, why: String) {
-        // A server that had the address before may have spoken the other protocol.
-        let other_protocol = if self.set.memcached { b'*' } else { 0x80 };
+    /// Reports bytes that cannot be decoded; `first`: the first byte of the message.
+    pub(super) fn report_unreadable(&mut self, first: Option<u8>, why: String) {
+        // An earlier server at this address may have used the other protocol.
+        let other_protocol = if self.settings.memcached { b'*' } else { 0x80 };
         if first == Some(other_protocol) {
-            let server = self.set.number;
+            let server = self.settings.number;
             self.recorder
                 .record(self.port.unix(), Event::WrongProtocol { server });
         } else {
@@ -121,21 +126,26 @@
         }
     }
 
-    /// A node sent what no client asks for.
+    /// Reports a command that no client's request leads to.
     pub(super) fn report_unexpected(&self, bytes: String) {
         self.recorder.record(
             self.port.unix(),
             Event::MalformedCommand {
-                server: self.set.number,
+                server: self.settings.number,
                 bytes,
             },
         );
     }
 
-    pub(super) fn request(&mut self, conn: usize, r: &memcached::Request, first_byte: Micros) {
+    pub(super) fn handle_memcached_request(
+        &mut self,
+        conn: usize,
+        r: &memcached::Request,
+        first_byte: Micros,
+    ) {
         let key = std::str::from_utf8(&r.key).unwrap_or_default();
-        let plain = r.fault.is_none() && r.cas == 0 && r.extras.iter().all(|b| *b == 0);
-        let (write, idempotency_key) = match Opcode::from_code(r.opcode).filter(|_| plain) {
+        let is_plain = r.fault.is_none() && r.cas == 0 && r.extras.iter().all(|b| *b == 0);
+        let (write, idempotency_key) = match Opcode::from_code(r.opcode).filter(|_| is_plain) {
             Some(Opcode::Get) => (false, None),
             Some(Opcode::Noop) => {
                 let mut out = Vec::new();
@@ -151,8 +161,9 @@
                             .filter(|idempotency_key| &**idempotency_key != "-"),
                     ),
                     None => {
-                        return self
-                            .report_unexpected("a value without a key before it".to_string())
+                        return self.report_unexpected(
+                            "the value has no idempotency key before it".to_string(),
+                        )
                     }
                 }
             }
@@ -167,10 +178,10 @@
             wait: MAX_WAIT,
             opaque,
         };
-        self.take(conn, request, first_byte);
+        self.accept_attempt(conn, request, first_byte);
     }
 
-    pub(super) fn command(&mut self, conn: usize, command: &Command, first_byte: Micros) {
+    pub(super) fn handle_command(&mut self, conn: usize, command: &Command, first_byte: Micros) {
         let words = &command.words;
         let text = |i: usize| {
             words
@@ -192,8 +203,9 @@
             .get("d")
             .and_then(|d| d.parse::<f64>().ok())
             .filter(|d| *d >= 0.0);
-        let known = (write && words.len() == 5) || (text(0) == "C.GET" && words.len() == 4);
-        let (Some(wait), true, true) = (wait, known, fields.contains_key("c")) else {
+        let is_known_command =
+            (write && words.len() == 5) || (text(0) == "C.GET" && words.len() == 4);
+        let (Some(wait), true, true) = (wait, is_known_command, fields.contains_key("c")) else {
             self.report_unexpected(
                 words
                     .iter()
@@ -205,36 +217,37 @@
             return;
         };
         let request = NodeRequest {
-            id: name(text(2)),
+            id: recorded_id(text(2)),
             key: text(1).into(),
             write,
             idempotency_key: fields.get("k").map(|k| Id::from(*k)),
             wait: (wait * 1000.0) as Micros,
             opaque: None,
         };
-        self.take(conn, request, first_byte);
+        self.accept_attempt(conn, request, first_byte);
     }
 
-    fn take(&mut self, conn: usize, request: NodeRequest, first_byte: Micros) {
+    /// Records a request as a new attempt and queues or rejects it. `first_byte`: Unix time of the request's first byte.
+    fn accept_attempt(&mut self, conn: usize, request: NodeRequest, first_byte: Micros) {
         let write = request.write;
-        self.attempts += 1;
+        self.last_attempt += 1;
         let (now, unix) = (self.port.now(), self.port.unix());
         let mean = if write {
-            self.set.write_work
+            self.settings.write_work
         } else {
-            self.set.read_work
+            self.settings.read_work
         } as f64;
         let work = (mean / 4.0 + self.rng.exponential(mean * 0.75)) as Micros;
         let job = Job {
             conn,
             serial: self.port.connection(conn).map_or(0, |l| l.serial),
-            attempt: self.attempts,
+            attempt: self.last_attempt,
             id: request.id,
             key: request.key,
             write,
             idempotency_key: request.idempotency_key,
             work,
-            over: now + request.wait,
+            expires_at: now + request.wait,
             opaque: request.opaque,
         };
         self.recorder.record(
@@ -242,24 +255,24 @@
             Event::Attempt {
                 id: job.id.clone(),
                 attempt: job.attempt,
-                server: self.set.number,
+                server: self.settings.number,
                 first_byte: self.recorder.since_start(first_byte),
                 idempotency_key: job.idempotency_key.clone(),
                 work,
             },
         );
-        self.receive(work);
-        if self.fallen {
+        self.count_received_work(work);
+        if self.has_crashed {
             return;
         }
-        let full = self.draining || self.queue.len() >= self.set.queue_capacity;
-        if full || job.over <= now {
+        let is_full = self.draining || self.queue.len() >= self.settings.queue_capacity;
+        if is_full || job.expires_at <= now {
             return self.reject(&job);
         }
         if let Some(Peer::Node { busy, .. }) = self.peers.get_mut(&conn) {
             *busy = true;
         }
         self.queue.push_back(job);
-        self.start();
+        self.start_next_task();
     }
 }
--- a/crates/testbed/src/emulators/cache_server/responses.rs
+++ b/crates/testbed/src/emulators/cache_server/responses.rs
@@ -1,23 +1,23 @@
-//! Responses to nodes: served, rejected, failed and corrupted ones.
+//! Responses to nodes: results, rejections, errors, and corrupted responses.
 
 use bytes::Bytes;
 use sloewick_codec::memcached::{self, Opcode, Status};
 use sloewick_codec::resp2::{write_bulk, write_header};
 use sloewick_decision::api::Micros;
 
-use super::{CacheServer, Due, Job, Peer};
+use super::{CacheServer, Job, Peer, Timer};
 use crate::checker::observations::{AttemptOutcome, Event};
 use crate::port::SendTimes;
 
-/// How an attempt that is not served is answered.
+/// The error with which the server answers an attempt.
 #[derive(Clone, Copy)]
 pub(super) enum ErrorResponse {
     Busy,
     Failed,
 }
 
-/// A served answer of the binary protocol; a write's has no value.
-fn put_answer(out: &mut Vec<u8>, job: &Job, opaque: u32, value: Vec<u8>) {
+/// Appends a successful response of the memcached binary protocol; the response to a write has no value.
+fn append_memcached_response(out: &mut Vec<u8>, job: &Job, opaque: u32, value: Vec<u8>) {
     let (opcode, flags, value) = if job.write {
         (Opcode::Set, &[][..], Vec::new())
     } else {
@@ -37,9 +37,10 @@
     );
 }
 
-/// Pause between two pieces of a value without end, and the bytes of it that may be unsent.
+/// Pause between two pieces of an endless value.
 const TRICKLE_INTERVAL: Micros = 10_000;
-const MAX_UNSENT: usize = 1 << 16;
+/// Unsent bytes of an endless value from which the server stops sending it.
+const MAX_UNSENT_BYTES: usize = 1 << 16;
 
 impl<N: SendTimes> CacheServer<N> {
     pub(super) fn reject(&mut self, job: &Job) {
@@ -67,7 +68,7 @@
                 out.into()
             }
         };
-        self.answer(job.conn, job.serial, bytes);
+        self.send_response(job.conn, job.serial, bytes);
     }
 
     pub(super) fn report_outcome(&self, job: &Job, outcome: AttemptOutcome) {
@@ -82,9 +83,11 @@
         );
     }
 
-    pub(super) fn finish(&mut self, job: &Job, how: &str) {
+    /// Sends the response to an executed attempt, or what a fault makes of it. `cache_status`: "hit", "miss" or "pending",
+    /// and empty for a write.
+    pub(super) fn send_result(&mut self, job: &Job, cache_status: &str) {
         self.report_outcome(job, AttemptOutcome::Executed);
-        if self.rng.chance(self.errors) {
+        if self.rng.chance(self.error_fraction) {
             return self.send_error(job, ErrorResponse::Failed);
         }
         let length = if self.rng.chance(0.02) {
@@ -96,48 +99,48 @@
         value.resize(value.len() + length, b'.');
         let mut out = Vec::with_capacity(value.len() + 48);
         if let Some(opaque) = job.opaque {
-            put_answer(&mut out, job, opaque, value);
+            append_memcached_response(&mut out, job, opaque, value);
         } else {
             write_header(&mut out, b'*', 3);
             write_bulk(&mut out, &value);
-            if how.is_empty() {
+            if cache_status.is_empty() {
                 out.extend_from_slice(b"$-1\r\n");
             } else {
-                write_bulk(&mut out, how.as_bytes());
+                write_bulk(&mut out, cache_status.as_bytes());
             }
             out.extend_from_slice(b"$-1\r\n");
         }
-        if self.rng.chance(self.spoil) {
+        if self.rng.chance(self.corrupted_fraction) {
             return self.send_corrupted(job, out);
         }
-        if self.rng.chance(self.surplus) {
-            let more: &[u8] = if job.opaque.is_some() && self.rng.chance(0.5) {
-                // An answer to no request.
+        if self.rng.chance(self.surplus_fraction) {
+            let surplus: &[u8] = if job.opaque.is_some() && self.rng.chance(0.5) {
+                // A response with an opaque that no request has.
                 b"\x81\x00\x00\x00\x04\x00\x00\x00\x00\x00\x00\x09\xff\xff\xff\xff\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00wrong"
             } else if job.opaque.is_none() && self.rng.chance(0.5) {
                 b"*3\r\n$5\r\nwrong\r\n$3\r\nhit\r\n$-1\r\n"
             } else {
                 b"\x00\x7f$*"
             };
-            out.extend_from_slice(more);
+            out.extend_from_slice(surplus);
         }
-        self.answer(job.conn, job.serial, out.into());
+        self.send_response(job.conn, job.serial, out.into());
     }
 
-    /// An answer that cannot be read, in one of several ways; the connection is of no further use.
-    pub(super) fn send_corrupted(&mut self, job: &Job, whole: Vec<u8>) {
+    /// Sends a response that cannot be decoded, of one of several kinds, and stops reading from the connection.
+    pub(super) fn send_corrupted(&mut self, job: &Job, valid: Vec<u8>) {
         let out: Vec<u8> = match self.rng.below(6) {
-            kind if job.opaque.is_some() => self.corrupted_memcached(job, kind, whole),
+            kind if job.opaque.is_some() => self.corrupted_memcached(job, kind, valid),
             0 => b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n".to_vec(),
             1 => vec![b'x'; 700],
             2 => b"*3\r\n$-7\r\n".to_vec(),
-            3 => whole[..whole.len() / 2].to_vec(),
+            3 => valid[..valid.len() / 2].to_vec(),
             4 => b"*3\r\n$3\r\nabcdefgh\r\n$3\r\nhit\r\n$-1\r\n".to_vec(),
             _ => {
                 let serial = job.serial;
                 self.port.set_timer(
                     self.port.now() + TRICKLE_INTERVAL,
-                    Due::Trickle(job.conn, serial),
+                    Timer::Trickle(job.conn, serial),
                 );
                 b"*3\r\n$3000000000\r\n".to_vec()
             }
@@ -154,56 +157,60 @@
         }
     }
 
+    /// Returns a corrupted memcached response of one of several kinds, made from a valid one.
     pub(super) fn corrupted_memcached(
         &mut self,
         job: &Job,
         kind: usize,
-        mut whole: Vec<u8>,
+        mut valid: Vec<u8>,
     ) -> Vec<u8> {
         match kind {
             0 => b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\r\n".to_vec(),
-            // Another's opaque, another opcode, a key beyond its body.
+            // The opaque of another request.
             1 => {
-                whole[12] ^= 0x80;
-                whole
+                valid[12] ^= 0x80;
+                valid
             }
+            // Another opcode.
             2 => {
-                whole[1] = Opcode::Delete as u8;
-                whole
+                valid[1] = Opcode::Delete as u8;
+                valid
             }
+            // A key longer than the body.
             3 => {
-                whole[2..4].copy_from_slice(&[0xff, 0xff]);
-                whole
+                valid[2..4].copy_from_slice(&[0xff, 0xff]);
+                valid
             }
-            4 => whole[..whole.len() / 2].to_vec(),
+            4 => valid[..valid.len() / 2].to_vec(),
             _ => {
                 // A body of 4 GB.
                 self.port.set_timer(
                     self.port.now() + TRICKLE_INTERVAL,
-                    Due::Trickle(job.conn, job.serial),
+                    Timer::Trickle(job.conn, job.serial),
                 );
-                whole[8..12].copy_from_slice(&[0xff; 4]);
-                whole
+                valid[8..12].copy_from_slice(&[0xff; 4]);
+                valid
             }
         }
     }
 
-    /// Sends more of a value without end, while the node reads it.
-    pub(super) fn trickle(&mut self, conn: usize, serial: u64) {
+    /// Sends the next piece of an endless value, as long as the node reads it.
+    pub(super) fn send_trickle(&mut self, conn: usize, serial: u64) {
         let is_same = self
             .port
             .connection(conn)
             .is_some_and(|l| l.serial == serial);
-        if is_same && self.port.unsent(conn) < MAX_UNSENT {
+        if is_same && self.port.unsent(conn) < MAX_UNSENT_BYTES {
             self.port.send(conn, Bytes::from_static(&[b'z'; 4096]));
             self.port.set_timer(
                 self.port.now() + TRICKLE_INTERVAL,
-                Due::Trickle(conn, serial),
+                Timer::Trickle(conn, serial),
             );
         }
     }
 
-    pub(super) fn answer(&mut self, conn: usize, serial: u64, bytes: Bytes) {
+    /// Sends a response, unless its connection has closed, and reads the next request.
+    pub(super) fn send_response(&mut self, conn: usize, serial: u64, bytes: Bytes) {
         if self
             .port
             .connection(conn)
@@ -212,10 +219,13 @@
             return;
         }
         let now = self.port.now();
-        if let Some(Peer::Node { busy, active, .. }) = self.peers.get_mut(&conn) {
-            (*busy, *active) = (false, now);
+        if let Some(Peer::Node {
+            busy, last_active, ..
+        }) = self.peers.get_mut(&conn)
+        {
+            (*busy, *last_active) = (false, now);
         }
         self.port.send(conn, bytes);
-        self.read(conn);
+        self.read_requests(conn);
     }
 }
--- a/crates/testbed/src/emulators/cache_server/work.rs
+++ b/crates/testbed/src/emulators/cache_server/work.rs
@@ -1,61 +1,63 @@
-//! Work of the emulated core: what is queued, how long it takes, and the failure of a cold server that is sent too much.
+//! Work of the emulated core: the queue, the duration of each task, and the crash of a cold server that is overloaded.
 
 use sloewick_decision::api::Micros;
 
-use super::{CacheServer, Due, Job};
+use super::{CacheServer, Job, Timer};
 use crate::checker::observations::{AttemptOutcome, Event};
 use crate::port::SendTimes;
 
 impl<N: SendTimes> CacheServer<N> {
-    /// What it can do now, as a part of a standard core.
+    /// Returns the current speed of the core, relative to a standard core.
     pub(super) fn capacity(&self) -> f64 {
-        let age = (self.port.now() - self.began) as f64 / self.set.warm_after.max(1) as f64;
-        let warm = if self.set.cold {
-            (self.set.cold_from + (1.0 - self.set.cold_from) * age).min(1.0)
+        let age =
+            (self.port.now() - self.started_at) as f64 / self.settings.warm_after.max(1) as f64;
+        let warm = if self.settings.cold {
+            (self.settings.cold_from + (1.0 - self.settings.cold_from) * age).min(1.0)
         } else {
             1.0
         };
-        self.set.speed * warm
+        self.settings.speed * warm
     }
 
-    /// Counts work that came, and falls over when that is too much for a cold box.
-    pub(super) fn receive(&mut self, work: Micros) {
+    /// Counts the work of a received attempt. A cold server that has received too much crashes.
+    pub(super) fn count_received_work(&mut self, work: Micros) {
         let now = self.port.now();
-        self.received.push_back((now, work));
-        self.received_sum += work;
+        self.recent_work.push_back((now, work));
+        self.recent_work_sum += work;
         while let Some((at, old)) = self
-            .received
+            .recent_work
             .front()
             .copied()
-            .filter(|(at, _)| now - at > self.set.fall)
+            .filter(|(at, _)| now - at > self.settings.fall)
         {
             debug_assert!(at <= now);
-            self.received_sum -= old;
-            self.received.pop_front();
+            self.recent_work_sum -= old;
+            self.recent_work.pop_front();
         }
-        let cold = self.set.cold && now - self.began < self.set.warm_after;
-        let most = self.set.fall_multiple * self.capacity() * self.set.fall as f64;
-        if cold && self.set.fall_multiple > 0.0 && self.received_sum as f64 > most {
+        let is_cold = self.settings.cold && now - self.started_at < self.settings.warm_after;
+        let limit = self.settings.fall_multiple * self.capacity() * self.settings.fall as f64;
+        if is_cold && self.settings.fall_multiple > 0.0 && self.recent_work_sum as f64 > limit {
             self.recorder.record(
                 self.port.unix(),
                 Event::ServerOverloaded {
-                    server: self.set.number,
+                    server: self.settings.number,
                 },
             );
-            self.stop();
+            self.crash();
         }
     }
 
-    /// The process ends: all connections break.
-    pub(super) fn stop(&mut self) {
-        self.fallen = true;
+    /// Ends the emulated process: all its connections close.
+    pub(super) fn crash(&mut self) {
+        self.has_crashed = true;
         for job in std::mem::take(&mut self.queue) {
             self.report_outcome(&job, AttemptOutcome::Interrupted);
         }
         if let Some((_, Some(job))) = self.core.take() {
             self.report_outcome(&job, AttemptOutcome::Interrupted);
         }
-        let mut calls: Vec<(u64, Job)> = std::mem::take(&mut self.calls).into_iter().collect();
+        let mut calls: Vec<(u64, Job)> =
+            std::mem::take(&mut self.origin_calls).into_iter().collect();
         calls.sort_by_key(|(call, _)| *call);
         for (_, job) in &calls {
             self.report_outcome(job, AttemptOutcome::Interrupted);
@@ -68,29 +70,29 @@
         self.peers.clear();
     }
 
-    /// Gives the core what is next: greetings of connections before attempts.
-    pub(super) fn start(&mut self) {
+    /// Starts the core's next task if it is idle: handshakes of new connections first, then attempts.
+    pub(super) fn start_next_task(&mut self) {
         let now = self.port.now();
         if self.core.is_some() || now < self.stalled_until {
             return;
         }
-        let (work, job) = if self.greetings > 0 {
-            self.greetings -= 1;
-            (self.set.handshake, None)
+        let (work, job) = if self.pending_handshakes > 0 {
+            self.pending_handshakes -= 1;
+            (self.settings.handshake, None)
         } else {
             loop {
                 match self.queue.pop_front() {
                     None => return,
-                    Some(job) if job.over <= now => self.reject(&job),
+                    Some(job) if job.expires_at <= now => self.reject(&job),
                     Some(job) => break (job.work, Some(job)),
                 }
             }
         };
-        self.core_number += 1;
-        let time = work as f64 / self.capacity() * self.slow;
+        self.last_core_task += 1;
+        let time = work as f64 / self.capacity() * self.slowdown;
         self.port
-            .set_timer(now + time as Micros, Due::Core(self.core_number));
-        self.core = Some((self.core_number, job));
+            .set_timer(now + time as Micros, Timer::CoreDone(self.last_core_task));
+        self.core = Some((self.last_core_task, job));
     }
 
     pub(super) fn core_done(&mut self, number: u64) {
@@ -98,18 +100,20 @@
             return;
         }
         if self.port.now() < self.stalled_until {
-            return self.port.set_timer(self.stalled_until, Due::Core(number));
+            return self
+                .port
+                .set_timer(self.stalled_until, Timer::CoreDone(number));
         }
         let job = self.core.take().and_then(|(_, job)| job);
         if let Some(job) = job {
             if job.write {
-                self.ask(job, true);
+                self.call_origin(job, true);
             } else if self.is_cached(&job.key) {
-                self.finish(&job, "hit");
+                self.send_result(&job, "hit");
             } else {
-                self.ask(job, false);
+                self.call_origin(job, false);
             }
         }
-        self.start();
+        self.start_next_task();
     }
 }
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -1,5 +1,8 @@
-//! Stand-in for discovery, from the protocol page: the whole list, a watch on changes, 503, late answers, a
-//! list that is stale. Each node calls it at an address of its own, which is how it knows whom it told what.
+//! Emulator of discovery, as the protocol specification describes it.
+//!
+//! Discovery serves the whole endpoint list and watches on its changes. Its faults are responses with status 503, late
+//! responses and a stale list. Each node uses an address of its own, by which discovery identifies the nodes in its
+//! reports.
 
 use std::collections::{BTreeMap, HashMap};
 use std::io;
@@ -11,12 +14,13 @@
 use crate::commands::CommandQueue;
 use crate::port::{Actor, ConnectionEvent, Port, SendTimes};
 
-/// Longest request that is read.
-const MAX_HEAD: usize = 8 << 10;
+/// Limit of a request's head, in bytes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
 
-/// One box as it is listed.
+/// The entry of one cache server in the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Listed {
+    /// The server's number in the run.
     pub number: usize,
     pub uid: String,
     pub endpoint: SocketAddr,
@@ -25,52 +29,63 @@
     pub state: AnnouncedState,
 }
 
+/// A command of the fault scheduler to discovery.
 #[derive(Clone, Debug)]
 pub enum ControlCommand {
-    /// A box's entry changes.
+    /// Adds or replaces the entry of a server.
     Change(Listed),
-    /// All calls fail with 503.
+    /// Answers all requests with status 503 if true, and closes the open watches; false ends this.
     Fail(bool),
-    /// Answers are held back so long.
+    /// Delays each response by this time.
     Late(Micros),
-    /// Answers tell the list as it stands now until this ends.
+    /// Keeps answering with the list as it is now if true; false ends this.
     Stale(bool),
-    /// It counts its versions anew from here.
+    /// Restarts the revision numbers of the list at this one.
     CountFrom(i64),
-    /// Takes no new connection, and closes the open ones after this.
+    /// Accepts no new connections, and closes the open ones after this time.
     Retire(Micros),
 }
 
-/// By uid: when it last changed, and what stands.
+/// For each uid, the revision of its last change and its entry.
 type Entries = BTreeMap<String, (i64, Listed)>;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    Waited(usize, u64),
-    Answer(usize, u64),
+pub enum Timer {
+    /// The watch on this connection (index and serial number) has reached its timeout.
+    WatchTimeout(usize, u64),
+    /// The delayed response on this connection (index and serial number) is sent.
+    DelayedResponse(usize, u64),
+    /// All connections are closed.
     Retired,
 }
 
+/// Discovery.
 pub struct Discovery<N: SendTimes> {
-    port: Port<N, Due>,
+    port: Port<N, Timer>,
     command_queue: CommandQueue<ControlCommand>,
     recorder: Recorder,
+    /// Revision of the latest change.
     rev: i64,
-    first: i64,
+    /// The oldest revision since which discovery knows the changes.
+    first_rev: i64,
     entries: Entries,
-    /// What is told while the list is stale.
+    /// The list and its revision that responses contain while the list is stale; None: the current list.
     frozen: Option<(i64, Entries)>,
+    /// The node of each connection.
     nodes: HashMap<usize, usize>,
-    /// Versions that waiting calls hold.
+    /// For each connection with an open watch, the revision that the node has.
     watches: BTreeMap<usize, i64>,
-    held: HashMap<usize, Option<i64>>,
-    fail: bool,
-    late: Micros,
+    /// For each connection with a delayed response, the revision that the node has; None if it requests the whole list.
+    delayed: HashMap<usize, Option<i64>>,
+    /// Whether all requests are answered with status 503.
+    is_failing: bool,
+    /// Delay of each response.
+    response_delay: Micros,
     events: Vec<(usize, ConnectionEvent)>,
 }
 
-/// The list as it stands, for whoever runs a site: what a discovery that starts is given, and what a node held
-/// when it ended.
+/// The current endpoint list, kept by the run: a discovery that starts receives it, and a node that restarts begins with
+/// the list that it had when it ended.
 #[derive(Clone, Debug)]
 pub struct Roster {
     pub rev: i64,
@@ -78,7 +93,7 @@
 }
 
 impl Roster {
-    /// Takes up a change.
+    /// Applies the change of an entry; a removed server leaves the list.
     pub fn change(&mut self, listed: &Listed) {
         self.rev += 1;
         self.list.retain(|l| l.uid != listed.uid);
@@ -87,14 +102,14 @@
         }
     }
 
-    /// A discovery starts with this list; its versions go on, or are counted anew.
+    /// Sets the list with which discovery restarts. `anew`: the revision numbers restart at 1; if false, they continue.
     pub fn restart(&mut self, list: Vec<Listed>, anew: bool) {
         self.list = list;
         self.rev = if anew { 1 } else { self.rev + 1 };
     }
 }
 
-/// The JSON of a list.
+/// Returns the JSON document of a list; `all`: it is the whole list; if false, a list of changes.
 pub fn list_json<'a>(
     rev: i64,
     all: bool,
@@ -115,7 +130,7 @@
 }
 
 impl<N: SendTimes> Discovery<N> {
-    /// One address for each node, in their order.
+    /// Creates a discovery that listens on one address for each node, in the order of the nodes.
     ///
     /// # Errors
     /// An address cannot be listened on.
@@ -136,7 +151,7 @@
             command_queue,
             recorder,
             rev,
-            first: rev,
+            first_rev: rev,
             entries: list
                 .iter()
                 .map(|e| (e.uid.clone(), (rev, e.clone())))
@@ -144,14 +159,14 @@
             frozen: None,
             nodes: HashMap::new(),
             watches: BTreeMap::new(),
-            held: HashMap::new(),
-            fail: false,
-            late: 0,
+            delayed: HashMap::new(),
+            is_failing: false,
+            response_delay: 0,
             events: Vec::new(),
         })
     }
 
-    fn read(&mut self, conn: usize) {
+    fn read_request(&mut self, conn: usize) {
         let Some(line) = self.port.connection(conn) else {
             return;
         };
@@ -160,7 +175,7 @@
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(buf) {
             Ok(httparse::Status::Complete(_)) => {}
-            Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD => return,
+            Ok(httparse::Status::Partial) if buf.len() < MAX_HEAD_BYTES => return,
             _ => return self.port.close(conn),
         }
         let path = request.path.unwrap_or_default().to_string();
@@ -175,50 +190,53 @@
                 .parse()
                 .ok()
         };
-        if self.fail || !path.starts_with("/api/targets") {
+        if self.is_failing || !path.starts_with("/api/targets") {
             return self.reply(conn, "503 Service Unavailable", "");
         }
         let since = number("since");
         let now = self.port.now();
-        if self.late > 0 {
-            self.held.insert(conn, since);
-            return self
-                .port
-                .set_timer(now + self.late, Due::Answer(conn, serial));
+        if self.response_delay > 0 {
+            self.delayed.insert(conn, since);
+            return self.port.set_timer(
+                now + self.response_delay,
+                Timer::DelayedResponse(conn, serial),
+            );
         }
         match since {
-            Some(since) if since == self.shown().0 => {
+            Some(since) if since == self.visible_list().0 => {
                 let wait = number("timeout_ms").unwrap_or(0).clamp(0, 60_000) * 1000;
                 self.watches.insert(conn, since);
-                self.port.set_timer(now + wait, Due::Waited(conn, serial));
+                self.port
+                    .set_timer(now + wait, Timer::WatchTimeout(conn, serial));
             }
             since => self.send_list(conn, since),
         }
     }
 
-    fn shown(&self) -> (i64, &Entries) {
+    /// Returns the revision and the entries that responses contain now.
+    fn visible_list(&self) -> (i64, &Entries) {
         match &self.frozen {
             Some((rev, entries)) => (*rev, entries),
             None => (self.rev, &self.entries),
         }
     }
 
-    /// Answers a call with what has changed since then, or with everything.
+    /// Answers a request with the changes since a revision, or with the whole list.
     fn send_list(&mut self, conn: usize, since: Option<i64>) {
         let node = self.nodes.get(&conn).copied().unwrap_or(0);
-        let (rev, entries) = self.shown();
-        let since = since.filter(|since| (self.first..=rev).contains(since));
+        let (rev, entries) = self.visible_list();
+        let since = since.filter(|since| (self.first_rev..=rev).contains(since));
         let sent: Vec<Listed> = entries
             .values()
-            .filter(|(at, e)| match since {
-                Some(since) => *at > since,
+            .filter(|(changed_at, e)| match since {
+                Some(since) => *changed_at > since,
                 None => e.state != AnnouncedState::Removed,
             })
             .map(|(_, e)| e.clone())
             .collect();
         let body = list_json(rev, since.is_none(), sent.iter()).to_string();
-        // A whole list also tells who is gone.
-        let gone: Vec<usize> = match since {
+        // A whole list also announces removals, by leaving the removed servers out.
+        let removed: Vec<usize> = match since {
             None => entries
                 .values()
                 .filter(|(_, e)| e.state == AnnouncedState::Removed)
@@ -237,7 +255,7 @@
                 },
             );
         }
-        for server in gone {
+        for server in removed {
             self.recorder.record(
                 unix,
                 Event::AnnouncementSent {
@@ -258,25 +276,25 @@
         self.port.send(conn, text.into());
     }
 
-    /// Tells the watches what is new to them.
-    fn changed(&mut self) {
-        let rev = self.shown().0;
-        let due: Vec<usize> = self
+    /// Answers the watches that have an older revision than the list.
+    fn answer_watches(&mut self) {
+        let rev = self.visible_list().0;
+        let outdated: Vec<usize> = self
             .watches
             .iter()
             .filter(|(_, since)| **since < rev)
             .map(|(conn, _)| *conn)
             .collect();
-        for conn in due {
+        for conn in outdated {
             if let Some(since) = self.watches.remove(&conn) {
                 self.send_list(conn, Some(since));
             }
         }
     }
 
-    fn forget(&mut self, conn: usize) {
+    fn close(&mut self, conn: usize) {
         self.watches.remove(&conn);
-        self.held.remove(&conn);
+        self.delayed.remove(&conn);
         self.nodes.remove(&conn);
         self.port.close(conn);
     }
@@ -286,47 +304,47 @@
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
-        for (conn, what) in &events {
-            match what {
+        for (conn, event) in &events {
+            match event {
                 ConnectionEvent::Accepted(node) => drop(self.nodes.insert(*conn, *node)),
-                ConnectionEvent::Received => self.read(*conn),
-                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.forget(*conn),
+                ConnectionEvent::Received => self.read_request(*conn),
+                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.close(*conn),
                 ConnectionEvent::Connected => {}
             }
         }
         self.events = events;
-        while let Some(due) = self.port.pop_due() {
-            match due {
-                Due::Waited(conn, serial) => {
-                    let same = self
+        while let Some(timer) = self.port.pop_due() {
+            match timer {
+                Timer::WatchTimeout(conn, serial) => {
+                    let is_same = self
                         .port
                         .connection(conn)
                         .is_some_and(|l| l.serial == serial);
-                    // A timer of an earlier connection with this number concerns no other one.
-                    if !same {
+                    // The timer of a closed connection does not apply to a later one with the same index.
+                    if !is_same {
                         continue;
                     }
                     if let Some(since) = self.watches.remove(&conn) {
                         self.send_list(conn, Some(since));
                     }
                 }
-                Due::Answer(conn, serial) => {
-                    let same = self
+                Timer::DelayedResponse(conn, serial) => {
+                    let is_same = self
                         .port
                         .connection(conn)
                         .is_some_and(|l| l.serial == serial);
-                    if !same {
+                    if !is_same {
                         continue;
                     }
-                    if let Some(since) = self.held.remove(&conn) {
+                    if let Some(since) = self.delayed.remove(&conn) {
                         self.send_list(conn, since);
                     }
                 }
-                Due::Retired => self
+                Timer::Retired => self
                     .port
                     .conns()
                     .into_iter()
-                    .for_each(|conn| self.forget(conn)),
+                    .for_each(|conn| self.close(conn)),
             }
         }
         Ok(())
@@ -334,40 +352,42 @@
 
     fn prepare(&mut self) -> Option<Micros> {
         let mut changed = false;
-        while let Some(order) = self.command_queue.pop() {
-            match order {
+        while let Some(command) = self.command_queue.pop() {
+            match command {
                 ControlCommand::Change(listed) => {
                     self.rev += 1;
                     self.entries.insert(listed.uid.clone(), (self.rev, listed));
                     changed = true;
                 }
                 ControlCommand::Fail(fail) => {
-                    self.fail = fail;
+                    self.is_failing = fail;
                     if fail {
                         let all: Vec<usize> = self.watches.keys().copied().collect();
                         for conn in all {
-                            self.forget(conn);
+                            self.close(conn);
                         }
                     }
                 }
-                ControlCommand::Late(late) => self.late = late,
+                ControlCommand::Late(delay) => self.response_delay = delay,
                 ControlCommand::Stale(true) => self.frozen = Some((self.rev, self.entries.clone())),
                 ControlCommand::Stale(false) => {
                     self.frozen = None;
                     changed = true;
                 }
                 ControlCommand::CountFrom(rev) => {
-                    (self.rev, self.first) = (rev, rev);
-                    self.entries.values_mut().for_each(|(at, _)| *at = rev);
+                    (self.rev, self.first_rev) = (rev, rev);
+                    self.entries
+                        .values_mut()
+                        .for_each(|(changed_at, _)| *changed_at = rev);
                 }
                 ControlCommand::Retire(after) => {
                     self.port.close_listeners();
-                    self.port.set_timer(self.port.now() + after, Due::Retired);
+                    self.port.set_timer(self.port.now() + after, Timer::Retired);
                 }
             }
         }
         if changed {
-            self.changed();
+            self.answer_watches();
         }
         Some(self.port.next_due())
     }
--- a/crates/testbed/src/emulators/idle_clients.rs
+++ b/crates/testbed/src/emulators/idle_clients.rs
@@ -1,5 +1,7 @@
-//! Clients that have asked once and rest on their connections, so many at each node. Whoever is ended comes back at
-//! once, so that a node's descriptors stay filled as long as they last.
+//! Emulators of idle clients: each sends one PING and then keeps its connection open without using it.
+//!
+//! A client whose connection a node closes reconnects at the next interval, so that the descriptors of the node stay in
+//! use for as long as idle clients are configured.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,26 +13,29 @@
 use crate::commands::CommandQueue;
 use crate::port::{Actor, ConnectionEvent, Port, SendTimes};
 
-/// How often those that are missing come, and in how many times of that all are there.
-const STEP: Micros = 10_000;
-const STEPS: usize = 50;
+/// Interval at which missing clients connect.
+const CONNECT_INTERVAL: Micros = 10_000;
+/// Number of intervals in which all clients have connected.
+const INTERVALS_UNTIL_CONNECTED: usize = 50;
 
 /// The idle clients of a site.
 pub struct Idle<N: SendTimes> {
     port: Port<N, ()>,
     nodes: Vec<SocketAddr>,
     command_queue: CommandQueue<usize>,
-    /// So many at each node.
+    /// Number of clients at each node.
     wanted: usize,
+    /// Number of connections to each node.
     open: Vec<usize>,
-    /// Each connection's node.
+    /// The node of each connection.
     conns: HashMap<usize, usize>,
-    ticking: bool,
+    /// Whether the timer for the next interval is set.
+    is_timer_set: bool,
     events: Vec<(usize, ConnectionEvent)>,
 }
 
 impl<N: SendTimes> Idle<N> {
-    /// `command_queue`: how many rest at each node; none: all leave.
+    /// Creates the clients. Each command in `command_queue` is the number of clients at each node; 0 disconnects all.
     pub fn new(net: N, nodes: Vec<SocketAddr>, command_queue: CommandQueue<usize>) -> Idle<N> {
         let open = vec![0; nodes.len()];
         let (conns, events) = (HashMap::new(), Vec::new());
@@ -41,20 +46,21 @@
             wanted: 0,
             open,
             conns,
-            ticking: false,
+            is_timer_set: false,
             events,
         }
     }
 
-    fn step(&mut self) {
-        self.ticking = self.wanted > 0;
-        if !self.ticking {
+    /// Connects some of the missing clients.
+    fn connect_missing(&mut self) {
+        self.is_timer_set = self.wanted > 0;
+        if !self.is_timer_set {
             return;
         }
-        self.port.set_timer(self.port.now() + STEP, ());
+        self.port.set_timer(self.port.now() + CONNECT_INTERVAL, ());
         for node in 0..self.nodes.len() {
             let missing = self.wanted.saturating_sub(self.open[node]);
-            for _ in 0..missing.min(self.wanted.div_ceil(STEPS)) {
+            for _ in 0..missing.min(self.wanted.div_ceil(INTERVALS_UNTIL_CONNECTED)) {
                 if let Ok(conn) = self.port.connect(self.nodes[node]) {
                     self.open[node] += 1;
                     self.conns.insert(conn, node);
@@ -63,7 +69,7 @@
         }
     }
 
-    fn over(&mut self, conn: usize) {
+    fn close(&mut self, conn: usize) {
         if let Some(node) = self.conns.remove(&conn) {
             self.open[node] -= 1;
         }
@@ -75,8 +81,8 @@
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
-        for (conn, what) in &events {
-            match what {
+        for (conn, event) in &events {
+            match event {
                 ConnectionEvent::Connected => self
                     .port
                     .send(*conn, Bytes::from_static(b"*1\r\n$4\r\nPING\r\n")),
@@ -85,13 +91,13 @@
                         line.buf.clear();
                     }
                 }
-                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.over(*conn),
+                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.close(*conn),
                 ConnectionEvent::Accepted(_) => {}
             }
         }
         self.events = events;
         while self.port.pop_due().is_some() {
-            self.step();
+            self.connect_missing();
         }
         Ok(())
     }
@@ -100,12 +106,12 @@
         while let Some(wanted) = self.command_queue.pop() {
             self.wanted = wanted;
             if wanted == 0 {
-                // In one order, whatever the map's.
+                // In the order of connection indices: the order of the map would differ between runs.
                 self.port
                     .conns()
                     .into_iter()
-                    .for_each(|conn| self.over(conn));
-            } else if !std::mem::replace(&mut self.ticking, true) {
+                    .for_each(|conn| self.close(conn));
+            } else if !std::mem::replace(&mut self.is_timer_set, true) {
                 self.port.set_timer(self.port.now(), ());
             }
         }
--- a/crates/testbed/src/emulators/mod.rs
+++ b/crates/testbed/src/emulators/mod.rs
@@ -1,7 +1,7 @@
 //! Emulators of everything that a node talks to.
 //!
 //! Each emulator owns its connections and timers through a [`crate::port::Port`], takes commands from the fault
-//! schedule and reports what it saw to the checker.
+//! scheduler and reports its observations to the checker.
 
 pub mod cache_server;
 pub mod clients;
--- a/crates/testbed/src/emulators/origin.rs
+++ b/crates/testbed/src/emulators/origin.rs
@@ -1,9 +1,12 @@
-//! Stand-in for the origin: few workers, a bounded queue, slow spells; it applies writes, drops their repeats
-//! for a while, and tells the boxes which copies are void.
+//! Emulator of the origin: a few workers, a bounded queue, and periods of slowness as a fault.
 //!
-//! Boxes keep one connection each and number their calls (RESP2, answers in any order):
-//! `O.GET tag key` and `O.SET tag key id idem` (`-`: no idempotency key) are answered `[tag, version]`, or
-//! `[tag, nil]` when the queue is full. Unasked come `[VOID, key]` and `[VOIDPART, per mille, salt]`.
+//! The origin applies writes, drops repeats of a write within a deduplication window, and invalidates the keys that cache
+//! servers have in their caches.
+//!
+//! Each cache server keeps one connection and numbers its calls (RESP2; the answers come in any order). The origin
+//! answers `O.GET tag key` and `O.SET tag key id idem` (`-`: no idempotency key) with `[tag, version]`, or with
+//! `[tag, nil]` when its queue is full. It sends the invalidations `[VOID, key]` and `[VOIDPART, per mille, salt]`
+//! unrequested.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -18,39 +21,46 @@
 use crate::port::{Actor, ConnectionEvent, Port, SendTimes};
 use crate::rng::Rng;
 
-/// Calls that wait; more are turned away.
-const QUEUE_MOST: usize = 1000;
+/// Limit of waiting calls; the origin rejects further ones.
+const MAX_QUEUED_CALLS: usize = 1000;
 
-/// Idempotency keys remembered before the old ones are looked for.
-const KEYS_MOST: usize = 20_000;
+/// Number of remembered idempotency keys above which the origin removes the expired ones.
+const IDEMPOTENCY_KEYS_BEFORE_CLEANUP: usize = 20_000;
 
+/// Configuration of the origin.
 #[derive(Clone, Debug)]
 pub struct Settings {
+    /// The address that the origin listens on.
     pub at: SocketAddr,
+    /// Number of calls that the origin works on at the same time.
     pub workers: usize,
+    /// Mean duration of a fetch.
     pub fetch_mean: Micros,
+    /// Mean duration of a write.
     pub write_mean: Micros,
-    /// How long a write's repeat is dropped.
+    /// Deduplication window: how long after a write its repeats are dropped.
     pub window: Micros,
-    /// Fetches of one key that come while one is under way wait for it.
+    /// A fetch of a key waits for the result of one that is already in flight.
     pub share_fetches: bool,
     pub seed: u64,
 }
 
+/// A command of the fault scheduler to the origin.
 #[derive(Clone, Copy, Debug)]
 pub enum ControlCommand {
-    /// So many times slower.
+    /// Multiplies the duration of all calls by this factor.
     Slow(f64),
-    /// This part of all kept copies is void.
+    /// Invalidates this fraction of all cached keys, selected by a hash with this salt.
     Void { fraction: f64, salt: u64 },
 }
 
+/// What a call requests.
 #[derive(Debug)]
 enum Job {
     Get {
         key: Id,
     },
-    /// `repeat`: it is dropped.
+    /// A write; `repeat`: its idempotency key was received within the window, so that it is dropped.
     Set {
         key: Id,
         id: Id,
@@ -59,65 +69,78 @@
     },
 }
 
+/// A call of a cache server.
 #[derive(Debug)]
 struct Call {
     conn: usize,
+    /// Serial number of the connection, since indices are used again.
     serial: u64,
+    /// The caller's number of the call, which the answer repeats.
     tag: Bytes,
     job: Job,
 }
 
+/// The origin.
 pub struct Origin<N: SendTimes> {
     port: Port<N, u64>,
-    set: Settings,
+    settings: Settings,
     command_queue: CommandQueue<ControlCommand>,
     recorder: Recorder,
     rng: Rng,
-    slow: f64,
+    /// Factor of the duration of all calls.
+    slowdown: f64,
     queue: VecDeque<Call>,
-    working: BTreeMap<u64, Call>,
-    next: u64,
-    /// Fetches under way, and who else waits for them.
+    /// The calls that the workers handle, by number.
+    in_progress: BTreeMap<u64, Call>,
+    /// Number of the latest call that a worker started.
+    last_call: u64,
+    /// Keys with a fetch queued or in progress, and the further calls that wait for it: connection, its serial number
+    /// and the tag.
     fetching: HashMap<Id, Vec<(usize, u64, Bytes)>>,
+    /// Version of each key that was written.
     versions: HashMap<Id, u64>,
-    version: u64,
-    seen: HashMap<Id, Micros>,
+    /// The latest version of any key.
+    last_version: u64,
+    /// When each idempotency key was first received.
+    idempotency_keys: HashMap<Id, Micros>,
     readers: HashMap<usize, CommandReader>,
     events: Vec<(usize, ConnectionEvent)>,
 }
 
 impl<N: SendTimes> Origin<N> {
+    /// Creates an origin that listens.
+    ///
     /// # Errors
-    /// Its address cannot be listened on.
+    /// The origin's address cannot be listened on.
     pub fn new(
         net: N,
-        set: Settings,
+        settings: Settings,
         command_queue: CommandQueue<ControlCommand>,
         recorder: Recorder,
     ) -> io::Result<Origin<N>> {
         let mut port = Port::new(net);
-        port.listen(set.at)?;
-        let rng = Rng::stream(set.seed, "origin", 0);
+        port.listen(settings.at)?;
+        let rng = Rng::stream(settings.seed, "origin", 0);
         Ok(Origin {
             port,
-            set,
+            settings,
             command_queue,
             recorder,
             rng,
-            slow: 1.0,
+            slowdown: 1.0,
             queue: VecDeque::new(),
-            working: BTreeMap::new(),
-            next: 0,
+            in_progress: BTreeMap::new(),
+            last_call: 0,
             fetching: HashMap::new(),
             versions: HashMap::new(),
-            version: 0,
-            seen: HashMap::new(),
+            last_version: 0,
+            idempotency_keys: HashMap::new(),
             readers: HashMap::new(),
             events: Vec::new(),
         })
     }
 
-    fn command(&mut self, conn: usize, words: &[Bytes]) {
+    fn handle_call(&mut self, conn: usize, words: &[Bytes]) {
         let text = |i: usize| -> Option<Id> {
             words
                 .get(i)
@@ -134,7 +157,7 @@
                     Some(idempotency_key).filter(|idempotency_key| &**idempotency_key != "-");
                 let repeat = idempotency_key
                     .as_ref()
-                    .is_some_and(|idempotency_key| self.repeats(idempotency_key));
+                    .is_some_and(|idempotency_key| self.is_repeat(idempotency_key));
                 Job::Set {
                     key,
                     id,
@@ -149,7 +172,7 @@
             if let Some(waiting) = self
                 .fetching
                 .get_mut(key)
-                .filter(|_| self.set.share_fetches)
+                .filter(|_| self.settings.share_fetches)
             {
                 waiting.push((conn, serial, tag));
                 return self
@@ -160,11 +183,11 @@
             self.recorder
                 .record(self.port.unix(), Event::Fetch { shared: false });
         }
-        if self.queue.len() >= QUEUE_MOST {
+        if self.queue.len() >= MAX_QUEUED_CALLS {
             if let Job::Get { key } = &job {
                 self.fetching.remove(key);
             }
-            return self.answer(conn, serial, &tag, None);
+            return self.send_answer(conn, serial, &tag, None);
         }
         self.queue.push_back(Call {
             conn,
@@ -172,50 +195,50 @@
             tag,
             job,
         });
-        self.start();
+        self.start_calls();
     }
 
-    /// Whether a write with this key has come within the window; it counts from the first that came.
-    fn repeats(&mut self, idempotency_key: &Id) -> bool {
-        let (now, window) = (self.port.now(), self.set.window);
+    /// Whether a write with this key was received within the window, which counts from the first one.
+    fn is_repeat(&mut self, idempotency_key: &Id) -> bool {
+        let (now, window) = (self.port.now(), self.settings.window);
         if self
-            .seen
+            .idempotency_keys
             .get(idempotency_key)
             .is_some_and(|at| now - *at < window)
         {
             return true;
         }
-        if self.seen.len() > KEYS_MOST {
-            self.seen.retain(|_, at| now - *at < window);
+        if self.idempotency_keys.len() > IDEMPOTENCY_KEYS_BEFORE_CLEANUP {
+            self.idempotency_keys.retain(|_, at| now - *at < window);
         }
-        self.seen.insert(idempotency_key.clone(), now);
+        self.idempotency_keys.insert(idempotency_key.clone(), now);
         false
     }
 
-    fn start(&mut self) {
-        while self.working.len() < self.set.workers {
+    fn start_calls(&mut self) {
+        while self.in_progress.len() < self.settings.workers {
             let Some(call) = self.queue.pop_front() else {
                 return;
             };
             let mean = match call.job {
-                Job::Get { .. } => self.set.fetch_mean,
-                Job::Set { .. } => self.set.write_mean,
+                Job::Get { .. } => self.settings.fetch_mean,
+                Job::Set { .. } => self.settings.write_mean,
             } as f64;
-            let time = (mean / 2.0 + self.rng.exponential(mean / 2.0)) * self.slow;
-            self.next += 1;
+            let duration = (mean / 2.0 + self.rng.exponential(mean / 2.0)) * self.slowdown;
+            self.last_call += 1;
             self.port
-                .set_timer(self.port.now() + time as Micros, self.next);
-            self.working.insert(self.next, call);
+                .set_timer(self.port.now() + duration as Micros, self.last_call);
+            self.in_progress.insert(self.last_call, call);
         }
     }
 
-    fn done(&mut self, call: Call) {
+    fn finish_call(&mut self, call: Call) {
         match call.job {
             Job::Get { key } => {
                 let version = self.versions.get(&key).copied().unwrap_or(0);
-                self.answer(call.conn, call.serial, &call.tag, Some(version));
+                self.send_answer(call.conn, call.serial, &call.tag, Some(version));
                 for (conn, serial, tag) in self.fetching.remove(&key).unwrap_or_default() {
-                    self.answer(conn, serial, &tag, Some(version));
+                    self.send_answer(conn, serial, &tag, Some(version));
                 }
             }
             Job::Set {
@@ -234,8 +257,8 @@
                         },
                     ),
                     (_, idempotency_key) => {
-                        self.version += 1;
-                        self.versions.insert(key.clone(), self.version);
+                        self.last_version += 1;
+                        self.versions.insert(key.clone(), self.last_version);
                         self.recorder.record(
                             unix,
                             Event::Effect {
@@ -243,15 +266,15 @@
                                 idempotency_key,
                             },
                         );
-                        self.tell_all(&[b"VOID", key.as_bytes()]);
+                        self.broadcast(&[b"VOID", key.as_bytes()]);
                     }
                 }
-                self.answer(call.conn, call.serial, &call.tag, Some(self.version));
+                self.send_answer(call.conn, call.serial, &call.tag, Some(self.last_version));
             }
         }
     }
 
-    fn answer(&mut self, conn: usize, serial: u64, tag: &Bytes, version: Option<u64>) {
+    fn send_answer(&mut self, conn: usize, serial: u64, tag: &Bytes, version: Option<u64>) {
         if self
             .port
             .connection(conn)
@@ -268,7 +291,7 @@
         }
     }
 
-    fn tell_all(&mut self, words: &[&[u8]]) {
+    fn broadcast(&mut self, words: &[&[u8]]) {
         let mut out = Vec::new();
         write_header(&mut out, b'*', words.len());
         for word in words {
@@ -280,7 +303,7 @@
         }
     }
 
-    fn read(&mut self, conn: usize) {
+    fn read_calls(&mut self, conn: usize) {
         let mut commands = Vec::new();
         let Some(line) = self.port.connection(conn) else {
             return;
@@ -293,7 +316,7 @@
         }
         line.buf = buf;
         for words in commands {
-            self.command(conn, &words);
+            self.handle_call(conn, &words);
         }
     }
 }
@@ -302,9 +325,9 @@
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
-        for (conn, what) in &events {
-            match what {
-                ConnectionEvent::Received => self.read(*conn),
+        for (conn, event) in &events {
+            match event {
+                ConnectionEvent::Received => self.read_calls(*conn),
                 ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => {
                     self.readers.remove(conn);
                     self.port.close(*conn);
@@ -315,21 +338,21 @@
         }
         self.events = events;
         while let Some(number) = self.port.pop_due() {
-            if let Some(call) = self.working.remove(&number) {
-                self.done(call);
+            if let Some(call) = self.in_progress.remove(&number) {
+                self.finish_call(call);
             }
-            self.start();
+            self.start_calls();
         }
         Ok(())
     }
 
     fn prepare(&mut self) -> Option<Micros> {
-        while let Some(order) = self.command_queue.pop() {
-            match order {
-                ControlCommand::Slow(times) => self.slow = times,
+        while let Some(command) = self.command_queue.pop() {
+            match command {
+                ControlCommand::Slow(times) => self.slowdown = times,
                 ControlCommand::Void { fraction, salt } => {
                     let fraction = ((fraction * 1000.0) as u64).to_string();
-                    self.tell_all(&[
+                    self.broadcast(&[
                         b"VOIDPART",
                         fraction.as_bytes(),
                         salt.to_string().as_bytes(),
--- a/crates/testbed/src/emulators/persistent_clients.rs
+++ b/crates/testbed/src/emulators/persistent_clients.rs
@@ -1,8 +1,8 @@
-//! Emulator of clients that go on using each open connection until its end.
+//! Emulator of clients that use each connection until the node closes it.
 //!
 //! Each node has a fixed set of connections of several [`Usage`]s. A connection carries requests until the node closes it,
-//! also while that node shuts down; a new one follows as long as the load balancer in front sends to the node. What becomes
-//! of each request is reported to the checker: its answer, or the end of its connection without one.
+//! also while that node shuts down. Clients replace it as long as the load balancer sends new connections to the node. They
+//! report the outcome of each request to the checker: its answer, or the end of its connection without one.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -18,7 +18,7 @@
 use crate::port::{Actor, ConnectionEvent, Port, SendTimes};
 use crate::rng::Rng;
 
-/// How much longer than its deadline a client waits for an answer, so that a late answer is told from none.
+/// How long after its deadline a client still waits, so that a late answer is distinguished from a missing one.
 const GIVE_UP_MARGIN: Micros = 1_000_000;
 /// Pause before an ended connection is replaced.
 const RECONNECT_PAUSE: Micros = 30_000;
@@ -32,20 +32,20 @@
 pub enum Usage {
     /// One request at a time.
     Serial,
-    /// So many requests at once, and the next ones when all have their answers.
+    /// This many requests at once, and the next ones once all of them have answers.
     Pipelined(usize),
-    /// One request now and then.
+    /// One request at a time, with long pauses ([`Settings::resting_interval`]).
     Resting,
-    /// One request for each connection, which the client closes then.
+    /// One request, after whose answer the client closes the connection.
     OneRequest,
-    /// So many requests at once, after which the client disconnects without waiting for answers.
+    /// This many requests at once, after which the client disconnects without waiting for answers.
     Flood(usize),
 }
 
-/// The clients of a fleet.
+/// Configuration of the clients of a fleet.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where each node listens.
+    /// The RESP2 listener of each node.
     pub nodes: Vec<SocketAddr>,
     /// Classes of requests.
     pub classes: Vec<Class>,
@@ -53,51 +53,51 @@
     pub tenants: Vec<String>,
     /// Number of keys.
     pub keys: usize,
-    /// The connections to each node.
+    /// How each of the connections to a node is used.
     pub connections: Vec<Usage>,
     /// Mean pause between a connection's answers and its next requests.
     pub think_time: Micros,
-    /// The same for a connection that rests.
+    /// Mean pause of a connection with [`Usage::Resting`].
     pub resting_interval: Micros,
-    /// Part of the times in which a client disconnects behind its requests.
+    /// Probability that a client disconnects right after it has sent its requests.
     pub impatient: f64,
-    /// No requests after this.
+    /// Time after which clients send no requests.
     pub until: Micros,
-    /// Seed of all draws.
+    /// Seed of the clients' random stream.
     pub seed: u64,
 }
 
-/// What is due.
+/// The timers of the clients and the load balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Due {
-    /// The connection's next requests.
+pub enum Timer {
+    /// The next requests are sent on this connection (index and serial number).
     Send(usize, u64),
-    /// The first request on the connection has no answer.
+    /// The client stops waiting for the first request on this connection (index and serial number).
     GiveUp(usize, u64),
-    /// A connection of this position is opened.
+    /// A client opens a connection.
     Open {
-        /// Its node.
+        /// The node that the connection goes to.
         node: usize,
-        /// Its position among the node's connections.
+        /// Position in [`Settings::connections`].
         position: usize,
     },
-    /// A node is asked whether it answers.
+    /// The load balancer checks whether this node answers PING.
     Ping(usize),
 }
 
-/// A request without an answer yet.
+/// A request that has no answer yet.
 struct PendingRequest {
     id: Id,
     write: bool,
     sent: Micros,
-    /// Until when its answer is due, behind those before it.
+    /// When its answer is due, after those of the requests before it.
     due: Micros,
 }
 
 struct Connection {
     serial: u64,
     node: usize,
-    /// Its position among the node's connections; none: it asks whether the node answers.
+    /// Position in [`Settings::connections`]; None: the load balancer checks with it whether the node answers PING.
     position: Option<usize>,
     is_up: bool,
     reader: ReplyReader,
@@ -106,9 +106,9 @@
     pending: VecDeque<PendingRequest>,
 }
 
-/// The clients, and the load balancer before the nodes.
+/// The clients, and the load balancer in front of the nodes.
 pub struct PersistentClients<N: SendTimes> {
-    port: Port<N, Due>,
+    port: Port<N, Timer>,
     settings: Settings,
     command_queue: CommandQueue<ControlCommand>,
     recorder: Recorder,
@@ -120,7 +120,7 @@
 }
 
 impl<N: SendTimes> PersistentClients<N> {
-    /// Clients that connect to each node once it answers PING.
+    /// Creates clients that connect to each node once it answers PING.
     pub fn new(
         net: N,
         settings: Settings,
@@ -129,7 +129,7 @@
     ) -> PersistentClients<N> {
         let mut port = Port::new(net);
         let nodes = settings.nodes.len();
-        (0..nodes).for_each(|node| port.set_timer(port.now(), Due::Ping(node)));
+        (0..nodes).for_each(|node| port.set_timer(port.now(), Timer::Ping(node)));
         let rng = Rng::stream(settings.seed, "persistent clients", 0);
         PersistentClients {
             port,
@@ -147,14 +147,14 @@
         self.recorder.record(self.port.unix(), event);
     }
 
-    /// Opens a connection.
+    /// Opens a connection, unless its time is over or the load balancer does not use the node.
     fn open(&mut self, node: usize, position: Option<usize>) {
         let now = self.port.now();
         if now >= self.settings.until || position.is_some() && !self.is_listed[node] {
             return;
         }
         let Ok(key) = self.port.connect(self.settings.nodes[node]) else {
-            return self.open_again(node, position);
+            return self.reopen_later(node, position);
         };
         let connection = Connection {
             serial: self.port.connection(key).map_or(0, |line| line.serial),
@@ -169,13 +169,14 @@
         self.connections.insert(key, connection);
     }
 
-    fn open_again(&mut self, node: usize, position: Option<usize>) {
+    /// Schedules the next attempt to open a connection.
+    fn reopen_later(&mut self, node: usize, position: Option<usize>) {
         let now = self.port.now();
         match position {
             Some(position) => self
                 .port
-                .set_timer(now + RECONNECT_PAUSE, Due::Open { node, position }),
-            None => self.port.set_timer(now + PING_INTERVAL, Due::Ping(node)),
+                .set_timer(now + RECONNECT_PAUSE, Timer::Open { node, position }),
+            None => self.port.set_timer(now + PING_INTERVAL, Timer::Ping(node)),
         }
     }
 
@@ -183,7 +184,7 @@
         self.settings.connections.get(connection.position?).copied()
     }
 
-    fn connected(&mut self, key: usize) {
+    fn handle_connected(&mut self, key: usize) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
@@ -217,15 +218,16 @@
         if let Some(last) = connection.pending.back() {
             let give_up = last.due + GIVE_UP_MARGIN;
             self.port
-                .set_timer(give_up, Due::GiveUp(key, connection.serial));
+                .set_timer(give_up, Timer::GiveUp(key, connection.serial));
         }
-        let leaves = matches!(usage, Usage::Flood(_)) || self.rng.chance(self.settings.impatient);
-        if leaves {
+        let disconnects =
+            matches!(usage, Usage::Flood(_)) || self.rng.chance(self.settings.impatient);
+        if disconnects {
             self.disconnect(key);
         }
     }
 
-    /// Adds a request to the bytes that are about to be sent on a connection.
+    /// Appends a request to the bytes that are to be sent on a connection.
     fn add_request(&mut self, key: usize, bytes: &mut Vec<u8>) {
         let now = self.port.now();
         let class = self.draw_class();
@@ -255,7 +257,7 @@
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
-        // Answers come in the order of requests: the time for which one waits for those before it does not count.
+        // Answers come in the order of the requests, so a request's time limit starts when those before it are due.
         let begins = connection
             .pending
             .back()
@@ -289,7 +291,7 @@
         class.unwrap_or(0)
     }
 
-    fn read(&mut self, key: usize) {
+    fn read_replies(&mut self, key: usize) {
         loop {
             let Some(connection) = self.connections.get_mut(&key) else {
                 return;
@@ -300,7 +302,7 @@
             match connection.reader.next(&mut line.buf) {
                 Ok(Some(DecodeEvent::Complete(reply))) => {
                     connection.has_partial_answer = false;
-                    self.replied(key, &reply);
+                    self.handle_reply(key, &reply);
                 }
                 Ok(Some(_)) => connection.has_partial_answer = true,
                 Ok(None) => {
@@ -311,19 +313,19 @@
                 Err(error) => {
                     let (node, bytes) = (connection.node, error.message().to_string());
                     self.record(Event::UnsolicitedBytes { node, bytes });
-                    return self.closed(key);
+                    return self.handle_close(key);
                 }
             }
         }
     }
 
-    fn replied(&mut self, key: usize, reply: &Reply) {
+    fn handle_reply(&mut self, key: usize, reply: &Reply) {
         let Some(connection) = self.connections.get_mut(&key) else {
             return;
         };
         let node = connection.node;
         if connection.position.is_none() {
-            return self.pinged(key, node, reply);
+            return self.handle_ping_reply(key, node, reply);
         }
         let Some(request) = connection.pending.pop_front() else {
             let bytes = format!("{reply:?}").chars().take(120).collect();
@@ -349,15 +351,15 @@
             self.settings.think_time
         };
         let at = self.port.now() + self.rng.exponential(mean as f64) as Micros;
-        self.port.set_timer(at, Due::Send(key, serial));
+        self.port.set_timer(at, Timer::Send(key, serial));
     }
 
-    /// A node has answered PING.
-    fn pinged(&mut self, key: usize, node: usize, reply: &Reply) {
+    /// Handles the answer to PING: the load balancer lists the node, and clients connect to it.
+    fn handle_ping_reply(&mut self, key: usize, node: usize, reply: &Reply) {
         self.port.close(key);
         self.connections.remove(&key);
         if !matches!(reply, Reply::Single(Element::Simple(text)) if text == "PONG") {
-            return self.open_again(node, None);
+            return self.reopen_later(node, None);
         }
         self.is_listed[node] = true;
         self.record(Event::NodeReady { node });
@@ -366,7 +368,7 @@
         }
     }
 
-    /// The client closes a connection; whatever is pending on it is given up.
+    /// Closes a connection from the client's side, which cancels the requests pending on it.
     fn disconnect(&mut self, key: usize) {
         let Some(connection) = self.connections.remove(&key) else {
             return;
@@ -377,11 +379,11 @@
             });
         }
         self.port.close(key);
-        self.open_again(connection.node, connection.position);
+        self.reopen_later(connection.node, connection.position);
     }
 
-    /// The node has closed a connection, or it broke.
-    fn closed(&mut self, key: usize) {
+    /// Handles a connection that the node has closed, or that failed.
+    fn handle_close(&mut self, key: usize) {
         self.port.close(key);
         let Some(connection) = self.connections.remove(&key) else {
             return;
@@ -400,25 +402,25 @@
                 partial: connection.has_partial_answer && index == 0,
             });
         }
-        self.open_again(node, connection.position);
+        self.reopen_later(node, connection.position);
     }
 
-    fn due(&mut self, due: Due) {
+    fn handle_timer(&mut self, timer: Timer) {
         let is_current = |clients: &Self, key: &usize, serial: u64| {
             let connection = clients.connections.get(key);
             connection.is_some_and(|connection| connection.serial == serial)
         };
-        match due {
-            Due::Send(key, serial) if is_current(self, &key, serial) => self.send_requests(key),
-            Due::GiveUp(key, serial) if is_current(self, &key, serial) => {
+        match timer {
+            Timer::Send(key, serial) if is_current(self, &key, serial) => self.send_requests(key),
+            Timer::GiveUp(key, serial) if is_current(self, &key, serial) => {
                 let first = self.connections[&key].pending.front();
                 if first.is_some_and(|first| first.due + GIVE_UP_MARGIN <= self.port.now()) {
                     self.disconnect(key);
                 }
             }
-            Due::Open { node, position } => self.open(node, Some(position)),
-            Due::Ping(node) => self.open(node, None),
-            Due::Send(..) | Due::GiveUp(..) => {}
+            Timer::Open { node, position } => self.open(node, Some(position)),
+            Timer::Ping(node) => self.open(node, None),
+            Timer::Send(..) | Timer::GiveUp(..) => {}
         }
     }
 }
@@ -440,15 +442,17 @@
         self.port.poll(wait, &mut events)?;
         for (key, event) in &events {
             match event {
-                ConnectionEvent::Connected => self.connected(*key),
-                ConnectionEvent::Received => self.read(*key),
-                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.closed(*key),
+                ConnectionEvent::Connected => self.handle_connected(*key),
+                ConnectionEvent::Received => self.read_replies(*key),
+                ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => {
+                    self.handle_close(*key);
+                }
                 ConnectionEvent::Accepted(_) => {}
             }
         }
         self.events = events;
-        while let Some(due) = self.port.pop_due() {
-            self.due(due);
+        while let Some(timer) = self.port.pop_due() {
+            self.handle_timer(timer);
         }
         Ok(())
     }
@@ -457,9 +461,9 @@
         while let Some(command) = self.command_queue.pop() {
             match command {
                 ControlCommand::Down(node) => self.is_listed[node] = false,
-                ControlCommand::Up(node) => self.port.set_timer(self.port.now(), Due::Ping(node)),
+                ControlCommand::Up(node) => self.port.set_timer(self.port.now(), Timer::Ping(node)),
                 ControlCommand::Impatient(fraction) => self.settings.impatient = fraction,
-                // The load follows from the connections.
+                // The connections determine the load.
                 ControlCommand::Rate(_) | ControlCommand::Hot { .. } => {}
             }
         }
--- a/crates/testbed/src/real_fleet/mod.rs
+++ b/crates/testbed/src/real_fleet/mod.rs
@@ -1,7 +1,7 @@
-//! A fleet on real sockets: every emulator on a thread of its own, every node on a thread or as a process of its own, on
-//! loopback, for as long as the value lives.
+//! A fleet on real sockets, on loopback: each emulator runs on a thread of its own, each node on a thread or as a process
+//! of its own.
 //!
-//! Ends with nothing left behind: threads are stopped and waited for, processes are killed where they do not end.
+//! Dropping the fleet ends all of it: threads are stopped and joined, processes that still run are killed.
 
 mod addresses;
 mod serving;
@@ -37,48 +37,53 @@
 pub(crate) use serving::RunningNode;
 use serving::ServingThread;
 
-/// What threads on a busy machine may add to the way of anything; the judge allows for it.
+/// How much thread scheduling on a busy machine may delay any message; the checker allows for it.
 pub(crate) const MAX_THREAD_DELAY: Micros = 150_000;
 
-/// What nodes run as.
+/// How nodes run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Nodes {
     /// Threads of this process.
     #[default]
     Threads,
-    /// Processes of this program, started as `PROGRAM run`: faults are signals to them.
+    /// Processes of this program, started as `PROGRAM run`; the faults of nodes are signals to the processes.
     Processes(PathBuf),
 }
 
-/// A node's addresses and what runs there.
+/// A node's addresses and its running instance.
 pub(crate) struct NodeSlot {
     pub(crate) address: SocketAddr,
     pub(crate) memcached: SocketAddr,
+    /// Number of starts of this node.
     starts: usize,
-    /// It was told to end.
+    /// A graceful shutdown was requested.
     pub(crate) stopping: bool,
+    /// The running instance; None if the node does not run.
     pub(crate) served: Option<RunningNode>,
 }
 
+/// A cache server of the fleet.
 struct ServerSlot {
     command_queue: CommandQueue<cache_server::ControlCommand>,
     cut: Cut,
-    /// Its machine is silent for good: no cut that ends gives it its ways back.
+    /// Its machine has vanished for good: the end of a cut does not restore its links.
     vanished: bool,
-    served: Option<ServingThread>,
+    thread: Option<ServingThread>,
 }
 
 /// The fleet, its emulators and addresses.
 pub(crate) struct RealFleet {
     scenario: Scenario,
-    free: FreeAddresses,
-    nodes_as: Nodes,
+    free_addresses: FreeAddresses,
+    node_mode: Nodes,
     protocols: ProtocolOptions,
     seed: u64,
     pub(crate) recorder: Recorder,
+    /// Unix time at which the run began.
     epoch: Micros,
     pub(crate) nodes: Vec<NodeSlot>,
     servers: Vec<ServerSlot>,
+    /// The address of each place for a server; servers that follow one another at a place share it.
     server_addresses: Vec<SocketAddr>,
     origin: SocketAddr,
     origin_commands: CommandQueue<origin::ControlCommand>,
@@ -87,13 +92,16 @@
     idle_commands: CommandQueue<usize>,
     /// How the nodes' settings differ from those of the site.
     pub(crate) settings_edit: SettingsEdit,
-    discovery_at: Arc<Mutex<Vec<SocketAddr>>>,
+    /// The address of discovery for each node.
+    discovery_addresses: Arc<Mutex<Vec<SocketAddr>>>,
     discovery: Option<ServingThread>,
-    retired: Vec<ServingThread>,
+    /// Earlier instances of discovery, each replaced by one at other addresses.
+    retired_discoveries: Vec<ServingThread>,
     discovery_commands: CommandQueue<discovery::ControlCommand>,
     roster: Roster,
-    /// What each node held when it last ended: it starts with that.
+    /// The list that each node had when it last ended, with which it starts again.
     last_rosters: Vec<Option<Roster>>,
+    /// What the run did, and what failed, since the last call of `take_announcements`.
     pub(crate) announcements: Vec<String>,
     emulator_threads: Vec<ServingThread>,
 }
@@ -110,16 +118,19 @@
         self.recorder.record(unix(), event);
     }
 
-    fn place(&mut self, place: usize) -> Option<SocketAddr> {
+    /// Returns the address of a place for a server, allocating it if necessary.
+    fn server_address(&mut self, place: usize) -> Option<SocketAddr> {
         while self.server_addresses.len() <= place {
-            self.server_addresses.push(self.free.one().ok()?);
+            self.server_addresses
+                .push(self.free_addresses.allocate().ok()?);
         }
         Some(self.server_addresses[place])
     }
 
+    /// Starts discovery with the current list, at this revision.
     fn run_discovery(&mut self, rev: i64) {
         let at = self
-            .discovery_at
+            .discovery_addresses
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
@@ -129,7 +140,7 @@
             self.discovery_commands.clone(),
             self.recorder.clone(),
         );
-        let made = ServingThread::start("discovery", move || {
+        let started = ServingThread::start("discovery", move || {
             Ok(Box::new(Discovery::new(
                 MioTransport::new()?,
                 &at,
@@ -139,36 +150,36 @@
                 recorder,
             )?))
         });
-        match made {
-            Ok(served) => self.discovery = Some(served),
+        match started {
+            Ok(thread) => self.discovery = Some(thread),
             Err(e) => self
                 .announcements
-                .push(format!("discovery does not start: {e}")),
+                .push(format!("discovery failed to start: {e}")),
         }
     }
 
-    /// The threads and addresses of a run, with nothing running yet.
+    /// Creates the fleet of a run, in which nothing runs yet.
     pub(crate) fn new(
         scenario: &Scenario,
         seed: u64,
         protocols: ProtocolOptions,
-        nodes_as: Nodes,
+        node_mode: Nodes,
         recorder: Recorder,
         epoch: Micros,
     ) -> io::Result<RealFleet> {
-        let on = if nodes_as == Nodes::Threads {
+        let ip = if node_mode == Nodes::Threads {
             Ipv4Addr::LOCALHOST
         } else {
             own_address()
         };
-        let mut free = FreeAddresses {
-            on,
-            given: std::collections::BTreeSet::new(),
+        let mut free_addresses = FreeAddresses {
+            ip,
+            allocated: std::collections::BTreeSet::new(),
         };
-        let origin = free.one()?;
-        let addresses = free.some(scenario.nodes)?;
-        let memcached = free.some(scenario.nodes)?;
-        let discovery_at = free.some(scenario.nodes)?;
+        let origin = free_addresses.allocate()?;
+        let addresses = free_addresses.allocate_many(scenario.nodes)?;
+        let memcached = free_addresses.allocate_many(scenario.nodes)?;
+        let discovery_addresses = free_addresses.allocate_many(scenario.nodes)?;
         let nodes = addresses
             .iter()
             .zip(&memcached)
@@ -182,8 +193,8 @@
             .collect();
         Ok(RealFleet {
             scenario: scenario.clone(),
-            free,
-            nodes_as,
+            free_addresses,
+            node_mode,
             protocols,
             seed,
             recorder,
@@ -197,9 +208,9 @@
             misbehaving_commands: CommandQueue::default(),
             idle_commands: CommandQueue::default(),
             settings_edit: SettingsEdit::default(),
-            discovery_at: Arc::new(Mutex::new(discovery_at)),
+            discovery_addresses: Arc::new(Mutex::new(discovery_addresses)),
             discovery: None,
-            retired: Vec::new(),
+            retired_discoveries: Vec::new(),
             discovery_commands: CommandQueue::default(),
             roster: Roster {
                 rev: 40,
@@ -216,10 +227,11 @@
         matches!(self.protocols.clients, Clients::Memcached | Clients::Both)
     }
 
+    /// Starts the origin.
     pub(crate) fn start_origin(&mut self) -> io::Result<()> {
         let set = site::origin(self.origin, self.seed, &self.scenario);
         let (commands, recorder) = (self.origin_commands.clone(), self.recorder.clone());
-        let served = ServingThread::start("origin", move || {
+        let thread = ServingThread::start("origin", move || {
             Ok(Box::new(Origin::new(
                 MioTransport::new()?,
                 set,
@@ -227,16 +239,16 @@
                 recorder,
             )?))
         })?;
-        self.emulator_threads.push(served);
+        self.emulator_threads.push(thread);
         Ok(())
     }
 
-    /// Where each node listens for RESP2.
+    /// Returns the RESP2 listener of each node.
     pub(crate) fn addresses(&self) -> Vec<SocketAddr> {
         self.nodes.iter().map(|node| node.address).collect()
     }
 
-    /// Where each node listens for the binary protocol; none if they don't.
+    /// Returns the memcached listener of each node; empty if the nodes have none.
     fn memcached_addresses(&self) -> Vec<SocketAddr> {
         if !self.serves_memcached() {
             return Vec::new();
@@ -256,64 +268,64 @@
             until,
         );
         let (commands, recorder) = (self.clients_commands.clone(), self.recorder.clone());
-        let served = ServingThread::start("clients", move || {
+        let thread = ServingThread::start("clients", move || {
             let net = MioTransport::new()?;
             Ok(Box::new(ClientPool::new(net, set, commands, recorder)))
         })?;
-        self.emulator_threads.push(served);
+        self.emulator_threads.push(thread);
         Ok(())
     }
 
-    /// Starts clients that go on using each open connection.
+    /// Starts clients that use each connection until the node closes it.
     pub(crate) fn start_persistent_clients(
         &mut self,
         settings: persistent_clients::Settings,
     ) -> io::Result<()> {
         let (commands, recorder) = (self.clients_commands.clone(), self.recorder.clone());
-        let served = ServingThread::start("clients", move || {
+        let thread = ServingThread::start("clients", move || {
             let net = MioTransport::new()?;
             let clients = PersistentClients::new(net, settings, commands, recorder);
             Ok(Box::new(clients))
         })?;
-        self.emulator_threads.push(served);
+        self.emulator_threads.push(thread);
         Ok(())
     }
 
-    /// Starts misbehaving clients, which come once they are told to.
+    /// Starts misbehaving clients, which connect once `set_misbehaving_client_rate` is called.
     pub(crate) fn start_misbehaving_clients(&mut self) -> io::Result<()> {
         let (addresses, memcached) = (self.addresses(), self.memcached_addresses());
         let (commands, recorder) = (self.misbehaving_commands.clone(), self.recorder.clone());
         let seed = self.seed;
-        let served = ServingThread::start("misbehaving", move || {
+        let thread = ServingThread::start("misbehaving", move || {
             let net = MioTransport::new()?;
             let clients =
                 MisbehavingClients::new(net, addresses, memcached, seed, commands, recorder);
             Ok(Box::new(clients))
         })?;
-        self.emulator_threads.push(served);
+        self.emulator_threads.push(thread);
         Ok(())
     }
 
-    /// Starts idle clients, which come once they are told to.
+    /// Starts idle clients, which connect once `set_idle_clients` is called.
     pub(crate) fn start_idle_clients(&mut self) -> io::Result<()> {
         let (addresses, commands) = (self.addresses(), self.idle_commands.clone());
-        let served = ServingThread::start("idle", move || {
+        let thread = ServingThread::start("idle", move || {
             Ok(Box::new(Idle::new(
                 MioTransport::new()?,
                 addresses,
                 commands,
             )))
         })?;
-        self.emulator_threads.push(served);
+        self.emulator_threads.push(thread);
         Ok(())
     }
 
-    /// What the run did, and what did not work, since the last call.
+    /// Returns what the run did, and what failed, since the last call.
     pub(crate) fn take_announcements(&mut self) -> Vec<String> {
         std::mem::take(&mut self.announcements)
     }
 
-    /// The process of a node that runs as one.
+    /// Returns the process of a node; None if the node does not run as one.
     pub(crate) fn process(&mut self, node: usize) -> Option<&mut Process> {
         match &mut self.nodes[node].served {
             Some(RunningNode::Process(process)) => Some(process),
@@ -321,7 +333,7 @@
         }
     }
 
-    /// Takes a process that has ended out of the fleet.
+    /// Removes the process of a node from the fleet and returns it.
     pub(crate) fn take_process(&mut self, node: usize) -> Option<Process> {
         match self.nodes[node].served.take() {
             Some(RunningNode::Process(process)) => Some(process),
@@ -332,7 +344,7 @@
         }
     }
 
-    /// The configuration of a node's next process.
+    /// Ends a node's instance and returns the configuration of the next one.
     fn next_configuration(&mut self, node: usize) -> String {
         self.nodes[node].served = None;
         self.nodes[node].starts += 1;
@@ -354,13 +366,13 @@
         self.settings_edit.apply(text)
     }
 
-    /// Where a node finds discovery.
+    /// Returns the address of discovery for a node.
     fn discovery_of(&self, node: usize) -> SocketAddr {
-        let addresses = self.discovery_at.lock();
+        let addresses = self.discovery_addresses.lock();
         addresses.unwrap_or_else(PoisonError::into_inner)[node]
     }
 
-    /// Starts a node as a process, and does not wait until it listens.
+    /// Starts a node as a process without waiting until it listens.
     pub(crate) fn spawn_node(&mut self, node: usize) {
         let text = self.next_configuration(node);
         self.record(Event::NodeStarted { node });
@@ -368,7 +380,7 @@
     }
 
     fn spawn_process(&mut self, node: usize, configuration: &str) {
-        let Nodes::Processes(program) = &self.nodes_as else {
+        let Nodes::Processes(program) = &self.node_mode else {
             return;
         };
         let memcached = self.protocols.file(self.nodes[node].memcached);
@@ -383,11 +395,11 @@
             Ok(process) => self.nodes[node].served = Some(RunningNode::Process(process)),
             Err(e) => self
                 .announcements
-                .push(format!("node {node} does not start: {e}")),
+                .push(format!("node {node} failed to start: {e}")),
         }
     }
 
-    /// Waits until a node's process listens.
+    /// Waits until a node's process listens, and ends it if it fails to.
     fn wait_until_listening(&mut self, node: usize) {
         let address = self.nodes[node].address;
         let Some(process) = self.process(node) else {
@@ -396,7 +408,7 @@
         if let Err(e) = process.wait_until_listening(address) {
             self.nodes[node].served = None;
             self.announcements
-                .push(format!("node {node} does not start: {e}"));
+                .push(format!("node {node} failed to start: {e}"));
         }
     }
 }
@@ -404,9 +416,9 @@
 /// How the nodes' settings differ from those of the site.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SettingsEdit {
-    /// Times the deadlines and latency objectives of all classes.
+    /// Factor of the deadlines and latency objectives of all classes.
     pub(crate) deadline_factor: f64,
-    /// Limit of descriptors.
+    /// Limit of open descriptors of a node.
     pub(crate) descriptors: usize,
     /// Nodes write the event trace to their logs.
     pub(crate) traces: bool,
@@ -423,7 +435,7 @@
 }
 
 impl SettingsEdit {
-    /// A configuration with these settings.
+    /// Returns a configuration with these settings.
     fn apply(self, text: String) -> String {
         let Ok(mut config) = serde_json::from_str::<serde_json::Value>(&text) else {
             return text;
@@ -443,42 +455,45 @@
 impl FaultEnvironment for RealFleet {
     fn start_server(&mut self, number: usize, place: usize, _zone: usize, cold: bool) {
         let command_queue = CommandQueue::default();
-        let Some(at) = self.place(place) else { return };
+        let Some(address) = self.server_address(place) else {
+            return;
+        };
         let memcached = self.protocols.server_uses_memcached(number, &self.scenario);
-        let set = site::cache_server_settings(number, at, self.origin, cold, memcached, self.seed);
-        let (its_orders, recorder) = (command_queue.clone(), self.recorder.clone());
-        let served = ServingThread::start(&format!("box-{number}"), move || {
+        let set =
+            site::cache_server_settings(number, address, self.origin, cold, memcached, self.seed);
+        let (commands, recorder) = (command_queue.clone(), self.recorder.clone());
+        let started = ServingThread::start(&format!("box-{number}"), move || {
             Ok(Box::new(CacheServer::new(
                 MioTransport::new()?,
                 set,
-                its_orders,
+                commands,
                 recorder,
             )?))
         });
-        let served = served
+        let thread = started
             .map_err(|e| {
                 self.announcements
-                    .push(format!("box {number} does not start: {e}"));
+                    .push(format!("cache server {number} failed to start: {e}"));
             })
             .ok();
         self.servers.push(ServerSlot {
             command_queue,
             cut: Cut::default(),
             vanished: false,
-            served,
+            thread,
         });
     }
 
     fn kill_server(&mut self, number: usize) {
         self.record(Event::ServerEnded { server: number });
-        if let Some(b) = self.servers.get_mut(number) {
-            b.served = None;
+        if let Some(server) = self.servers.get_mut(number) {
+            server.thread = None;
         }
     }
 
     fn command_server(&mut self, number: usize, command: cache_server::ControlCommand) {
-        if let Some(b) = self.servers.get(number) {
-            b.command_queue.push(command);
+        if let Some(server) = self.servers.get(number) {
+            server.command_queue.push(command);
         }
     }
 
@@ -573,20 +588,25 @@
             .iter_mut()
             .skip(number)
             .take(1)
-            .for_each(|b| b.vanished = true);
+            .for_each(|server| server.vanished = true);
     }
 
     fn cut_link(&mut self, number: usize, from_server: bool, cut: bool) {
-        let Some(b) = self.servers.get_mut(number).filter(|b| !b.vanished) else {
+        let Some(server) = self
+            .servers
+            .get_mut(number)
+            .filter(|server| !server.vanished)
+        else {
             return;
         };
         *(if from_server {
-            &mut b.cut.outwards
+            &mut server.cut.outwards
         } else {
-            &mut b.cut.inwards
+            &mut server.cut.inwards
         }) = cut;
-        b.command_queue
-            .push(cache_server::ControlCommand::Cut(b.cut));
+        server
+            .command_queue
+            .push(cache_server::ControlCommand::Cut(server.cut));
     }
 
     fn set_refuses_connections(&mut self, number: usize, refuses: bool) {
@@ -596,61 +616,62 @@
     fn start_node(&mut self, node: usize) {
         let text = self.next_configuration(node);
         self.record(Event::NodeStarted { node });
-        if self.nodes_as != Nodes::Threads {
+        if self.node_mode != Nodes::Threads {
             self.spawn_process(node, &text);
             return self.wait_until_listening(node);
         }
-        let discovery = self.discovery_at.clone();
-        let mine = move || discovery.lock().unwrap_or_else(PoisonError::into_inner)[node];
+        let addresses = self.discovery_addresses.clone();
+        let discovery_address =
+            move || addresses.lock().unwrap_or_else(PoisonError::into_inner)[node];
         let (protocols, memcached) = (self.protocols, self.nodes[node].memcached);
-        let remote = Arc::new(SignalFlags::default());
-        let its = remote.clone();
-        let served = ServingThread::start(&format!("node-{node}"), move || {
+        let signals = Arc::new(SignalFlags::default());
+        let node_signals = signals.clone();
+        let started = ServingThread::start(&format!("node-{node}"), move || {
             let mut config = config::parse(&text).map_err(|e| io::Error::other(e.to_string()))?;
             protocols
                 .configure(&mut config, memcached)
                 .map_err(io::Error::other)?;
             let source = Box::new(move || {
                 config::parse(&text).map(|mut config| {
-                    config.discovery = mine();
+                    config.discovery = discovery_address();
                     config
                 })
             });
             Ok(Box::new(Node::new(
                 config,
-                MioTransport::remote(its)?,
+                MioTransport::remote(node_signals)?,
                 source,
             )?))
         });
-        match served {
-            Ok(served) => self.nodes[node].served = Some(RunningNode::Thread(served, remote)),
+        match started {
+            Ok(thread) => self.nodes[node].served = Some(RunningNode::Thread(thread, signals)),
             Err(e) => self
                 .announcements
-                .push(format!("node {node} does not start: {e}")),
+                .push(format!("node {node} failed to start: {e}")),
         }
     }
 
     fn move_discovery(&mut self) {
         self.discovery_commands
             .push(discovery::ControlCommand::Retire(1_500_000));
-        self.retired.extend(self.discovery.take());
-        let fresh = self.free.some(self.nodes.len());
-        match fresh {
-            Ok(fresh) => {
+        self.retired_discoveries.extend(self.discovery.take());
+        let new_addresses = self.free_addresses.allocate_many(self.nodes.len());
+        match new_addresses {
+            Ok(new_addresses) => {
                 *self
-                    .discovery_at
+                    .discovery_addresses
                     .lock()
-                    .unwrap_or_else(PoisonError::into_inner) = fresh;
+                    .unwrap_or_else(PoisonError::into_inner) = new_addresses;
             }
             Err(e) => {
-                return self
-                    .announcements
-                    .push(format!("discovery does not move: {e}"))
+                return self.announcements.push(format!(
+                    "no addresses for the next instance of discovery: {e}"
+                ))
             }
         }
         self.run_discovery(self.roster.rev);
         let at = self
-            .discovery_at
+            .discovery_addresses
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone();
@@ -662,8 +683,9 @@
         {
             if let RunningNode::Process(process) = running {
                 if let Err(e) = process.moves(at[node]) {
-                    self.announcements
-                        .push(format!("node {node} is not told where discovery is: {e}"));
+                    self.announcements.push(format!(
+                        "cannot write the address of discovery for node {node}: {e}"
+                    ));
                 }
             }
             running.send_signals(Signals {
--- a/crates/testbed/src/real_fleet/serving.rs
+++ b/crates/testbed/src/real_fleet/serving.rs
@@ -1,4 +1,4 @@
-//! What runs at the same time: an actor on a thread of its own, and a node as a thread or as a process.
+//! Concurrent execution: an actor on a thread of its own, and a node as a thread or as a process.
 
 use std::io;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,9 +15,10 @@
 use crate::port::Actor;
 use crate::process_fleet::Process;
 
-/// How soon a stand-in looks for orders.
+/// Longest time until an emulator checks for commands.
 pub(crate) const COMMAND_INTERVAL: Micros = 20_000;
-/// A thread that serves an actor until it is told to stop, or until that ends.
+
+/// A thread that runs an actor until the thread is stopped or the actor ends.
 pub(crate) struct ServingThread {
     stop: Arc<AtomicBool>,
     paused: Arc<AtomicBool>,
@@ -25,45 +26,51 @@
 }
 
 impl ServingThread {
+    /// Starts a thread and waits until it has created its actor.
+    ///
+    /// # Errors
+    /// The thread cannot be started, or `make` fails.
     pub(crate) fn start(
         name: &str,
         make: impl FnOnce() -> io::Result<Box<dyn Actor>> + Send + 'static,
     ) -> io::Result<ServingThread> {
         let stop = Arc::new(AtomicBool::new(false));
         let paused = Arc::new(AtomicBool::new(false));
-        let (seen, stands, told) = (stop.clone(), paused.clone(), channel());
-        let ready: Sender<io::Result<()>> = told.0;
+        let (is_stopped, is_paused) = (stop.clone(), paused.clone());
+        let (ready, created): (Sender<io::Result<()>>, _) = channel();
         let thread = std::thread::Builder::new()
             .name(name.to_string())
             .spawn(move || {
-                // Its own clock began a moment later, so that it is never thought to be late.
-                let began = Instant::now();
+                // The actor's own clock starts a moment later, so the wait computed from this one is never too long.
+                let started_at = Instant::now();
                 let mut actor = match make() {
                     Ok(actor) => actor,
                     Err(e) => return drop(ready.send(Err(e))),
                 };
                 let _ = ready.send(Ok(()));
-                while !seen.load(Ordering::Relaxed) {
-                    if stands.load(Ordering::Relaxed) {
+                while !is_stopped.load(Ordering::Relaxed) {
+                    if is_paused.load(Ordering::Relaxed) {
                         std::thread::sleep(Duration::from_micros(COMMAND_INTERVAL as u64));
                         continue;
                     }
                     let Some(due) = actor.prepare() else { return };
-                    let wait =
-                        (due - began.elapsed().as_micros() as Micros).clamp(0, COMMAND_INTERVAL);
+                    let wait = (due - started_at.elapsed().as_micros() as Micros)
+                        .clamp(0, COMMAND_INTERVAL);
                     if actor.turn(wait).is_err() {
                         return;
                     }
                 }
             })?;
-        let served = ServingThread {
+        let serving = ServingThread {
             stop,
             paused,
             thread: Some(thread),
         };
-        match told.1.recv() {
-            Ok(made) => made.map(|()| served),
-            Err(_) => Err(io::Error::other("its thread ended")),
+        match created.recv() {
+            Ok(result) => result.map(|()| serving),
+            Err(_) => Err(io::Error::other(format!(
+                "thread {name:?} ended before it created its actor"
+            ))),
         }
     }
 }
@@ -77,14 +84,14 @@
     }
 }
 
-/// A node that runs.
+/// A running node.
 pub(crate) enum RunningNode {
     Thread(ServingThread, Arc<SignalFlags>),
     Process(Process),
 }
 
 impl RunningNode {
-    /// Signals that go astray are seen by what does not happen then.
+    /// Sends signals to the node. Errors are not reported: a signal that is lost shows in what the node does not do.
     pub(crate) fn send_signals(&mut self, signals: Signals) {
         match self {
             RunningNode::Thread(_, remote) => remote.send(signals),
@@ -99,9 +106,10 @@
         }
     }
 
+    /// Suspends the node or lets it continue.
     pub(crate) fn pause(&self, paused: bool) {
         match self {
-            RunningNode::Thread(served, _) => served.paused.store(paused, Ordering::Relaxed),
+            RunningNode::Thread(thread, _) => thread.paused.store(paused, Ordering::Relaxed),
             RunningNode::Process(process) => {
                 process.signal(if paused { Signal::STOP } else { Signal::CONT });
             }
