--- a/crates/testbed/src/emulators/cache_server/mod.rs
+++ b/crates/testbed/src/emulators/cache_server/mod.rs
@@ -1,8 +1,8 @@
 //! Emulator of a cache server, as the protocol specification describes it.
 //!
 //! The server has one core with a service time for each request, a bounded queue, a cold start, a limit of connections
-//! and a cost for each new connection. It reads through to the origin, passes writes on to it, and can drain. Its faults
-//! are corrupted and surplus responses, errors, stalls and slowness.
+//! and a cost for each new connection. It reads through to the origin, passes writes on to it, and can drain. Its
+//! faults are corrupted and surplus responses, errors, stalls and slowness.
 
 mod connections;
 mod origin_link;
@@ -61,6 +61,7 @@
     pub fall: Micros,
     /// Fraction of the keys that a server which is not cold has in its cache when the run begins.
     pub initial_hit_fraction: f64,
+    /// Seed of the server's random stream.
     pub seed: u64,
 }
 
@@ -85,6 +86,7 @@
     Refuse(bool),
 }
 
+/// The timers of a cache server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The core has completed the task with this number.
--- a/crates/testbed/src/emulators/cache_server/origin_link.rs
+++ b/crates/testbed/src/emulators/cache_server/origin_link.rs
@@ -146,10 +146,10 @@
 
     pub(super) fn read_origin(&mut self, conn: usize) {
         loop {
-            let Some(line) = self.port.connection(conn) else {
+            let Some(port_connection) = self.port.connection(conn) else {
                 return;
             };
-            match self.origin_reader.next(&mut line.buf) {
+            match self.origin_reader.next(&mut port_connection.buf) {
                 Ok(Some(DecodeEvent::Complete(Reply::Array(parts)))) => {
                     self.handle_origin_reply(&parts);
                 }
--- a/crates/testbed/src/emulators/cache_server/requests.rs
+++ b/crates/testbed/src/emulators/cache_server/requests.rs
@@ -41,8 +41,8 @@
     opaque: Option<u32>,
 }
 
-/// Returns the id by which the checker knows a request. If the client is a memcached client, which gives no id, the node
-/// made one that ends with the client's opaque.
+/// Returns the id by which the checker knows a request. If the client is a memcached client, which gives no id, the
+/// node made one that ends with the client's opaque.
 fn recorded_id(id: &str) -> Id {
     match id.strip_prefix('m').and_then(|rest| rest.rsplit_once('-')) {
         Some((_, opaque)) => short_id(u32::from_str_radix(opaque, 16).unwrap_or(0)),
@@ -65,34 +65,34 @@
                 return;
             };
             if *corrupted {
-                if let Some(line) = self.port.connection(conn) {
-                    line.buf.clear();
+                if let Some(port_connection) = self.port.connection(conn) {
+                    port_connection.buf.clear();
                 }
                 return;
             }
             if *busy {
                 return;
             }
-            let Some(line) = self.port.connection(conn) else {
+            let Some(port_connection) = self.port.connection(conn) else {
                 return;
             };
-            let first_byte = line.since;
+            let first_byte = port_connection.since;
             let mut budget = ByteBudget::new(MAX_VALUE_BYTES);
-            let first = line.buf.first().copied();
+            let first = port_connection.buf.first().copied();
             let next = match reader {
-                Reader::Resp(reader) => match reader.next(&mut line.buf, &mut budget) {
+                Reader::Resp(reader) => match reader.next(&mut port_connection.buf, &mut budget) {
                     Ok(command) => Ok(command.map(Input::Command)),
                     Err(error) => Err(error.message()),
                 },
                 Reader::Memcached(reader) => {
-                    match reader.next(&mut line.buf, &mut budget, MAX_VALUE_BYTES) {
+                    match reader.next(&mut port_connection.buf, &mut budget, MAX_VALUE_BYTES) {
                         Ok(request) => Ok(request.map(Input::Request)),
                         Err(error) => Err(error.kind.message()),
                     }
                 }
             };
-            if !line.buf.is_empty() {
-                line.since = unix;
+            if !port_connection.buf.is_empty() {
+                port_connection.since = unix;
             }
             match next {
                 Ok(Some(input)) => {
@@ -227,7 +227,8 @@
         self.accept_attempt(conn, request, first_byte);
     }
 
-    /// Records a request as a new attempt and queues or rejects it. `first_byte`: Unix time of the request's first byte.
+    /// Records a request as a new attempt and queues or rejects it. `first_byte`: Unix time of the request's first
+    /// byte.
     fn accept_attempt(&mut self, conn: usize, request: NodeRequest, first_byte: Micros) {
         let write = request.write;
         self.last_attempt += 1;
--- a/crates/testbed/src/emulators/cache_server/responses.rs
+++ b/crates/testbed/src/emulators/cache_server/responses.rs
@@ -83,8 +83,8 @@
         );
     }
 
-    /// Sends the response to an executed attempt, or what a fault makes of it. `cache_status`: "hit", "miss" or "pending",
-    /// and empty for a write.
+    /// Sends the response to an executed attempt, or what a fault makes of it. `cache_status`: "hit", "miss" or
+    /// "pending", and empty for a write.
     pub(super) fn send_result(&mut self, job: &Job, cache_status: &str) {
         self.report_outcome(job, AttemptOutcome::Executed);
         if self.rng.chance(self.error_fraction) {
--- a/crates/testbed/src/emulators/clients.rs
+++ b/crates/testbed/src/emulators/clients.rs
@@ -33,11 +33,13 @@
 /// The properties of a request class that clients use.
 #[derive(Clone, Debug)]
 pub struct Class {
+    /// Name of the class, as requests state it.
     pub name: String,
     /// Fraction of all requests, from 0 to 1.
     pub share: f64,
     /// Longest time limit of a request, and the time after the first request in which a retry may start.
     pub deadline: Micros,
+    /// Requests write; if false, they read.
     pub write: bool,
     /// Requests carry an idempotency key, with which clients retry them after a failure.
     pub keyed: bool,
@@ -52,9 +54,11 @@
     pub nodes: Vec<SocketAddr>,
     /// The listener of each node for the memcached binary protocol.
     pub memcached: Vec<SocketAddr>,
+    /// The protocols that clients use.
     pub protocols: Clients,
     /// Some cache servers identify a request only by its short id, so that clients must not reuse one early.
     pub short_names: bool,
+    /// Classes of requests.
     pub classes: Vec<Class>,
     /// Name of each tenant and its fraction of all requests.
     pub tenants: Vec<(String, f64)>,
@@ -72,6 +76,7 @@
     pub impatient: f64,
     /// Time after which no first requests start.
     pub until: Micros,
+    /// Seed of the clients' random stream.
     pub seed: u64,
 }
 
@@ -90,6 +95,7 @@
     Impatient(f64),
 }
 
+/// The timers of the clients and the load balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The next first request starts.
@@ -104,7 +110,7 @@
     Ping(usize),
 }
 
-/// A first request or a retry that has no answer yet.
+/// A first request or a retry that has no answer yet, or that is to be retried.
 struct PendingRequest {
     id: Id,
     /// Id of the first request: its own, or that of the request that it retries.
@@ -187,7 +193,7 @@
     is_up: Vec<bool>,
     /// The node that the load balancer chose last.
     last_node: usize,
-    /// The requests without an answer, by number.
+    /// The requests that have no answer yet, or that are to be retried, by number.
     requests: HashMap<u64, PendingRequest>,
     /// Requests that wait for a connection, by listener: the RESP2 listeners of all nodes, then the memcached ones.
     waiting: Vec<VecDeque<u64>>,
@@ -206,6 +212,7 @@
 }
 
 impl<N: SendTimes> ClientPool<N> {
+    /// Creates the clients. Their first request starts at once.
     pub fn new(
         net: N,
         settings: Settings,
@@ -615,16 +622,16 @@
         self.port.send(conn, bytes);
     }
 
-    fn handle_received(&mut self, conn: usize) {
+    fn read_replies(&mut self, conn: usize) {
         loop {
             let Some(connection) = self.conns.get_mut(&conn) else {
                 return;
             };
-            let Some(line) = self.port.connection(conn) else {
+            let Some(port_connection) = self.port.connection(conn) else {
                 return;
             };
             let next = match &mut connection.reader {
-                Reader::Resp(reader) => match reader.next(&mut line.buf) {
+                Reader::Resp(reader) => match reader.next(&mut port_connection.buf) {
                     Ok(Some(DecodeEvent::Complete(reply))) => {
                         Ok(Some(Some(NodeReply::Resp(reply))))
                     }
@@ -632,14 +639,16 @@
                     Ok(None) => Ok(None),
                     Err(error) => Err(error.message()),
                 },
-                Reader::Memcached(reader) => match reader.next(&mut line.buf, MAX_BODY_BYTES) {
-                    Ok(Some(memcached::DecodeEvent::Complete(response))) => {
-                        Ok(Some(Some(NodeReply::Memcached(response))))
+                Reader::Memcached(reader) => {
+                    match reader.next(&mut port_connection.buf, MAX_BODY_BYTES) {
+                        Ok(Some(memcached::DecodeEvent::Complete(response))) => {
+                            Ok(Some(Some(NodeReply::Memcached(response))))
+                        }
+                        Ok(Some(_)) => Ok(Some(None)),
+                        Ok(None) => Ok(None),
+                        Err(error) => Err(error.kind.message()),
                     }
-                    Ok(Some(_)) => Ok(Some(None)),
-                    Ok(None) => Ok(None),
-                    Err(error) => Err(error.kind.message()),
-                },
+                }
             };
             match next {
                 Ok(Some(Some(reply))) => self.handle_reply(conn, reply),
@@ -649,7 +658,7 @@
                         Reader::Resp(reader) => reader.is_mid_message(),
                         Reader::Memcached(reader) => reader.is_mid_message(),
                     };
-                    connection.partial = is_mid_message || !line.buf.is_empty();
+                    connection.partial = is_mid_message || !port_connection.buf.is_empty();
                     return;
                 }
                 Err(error) => {
@@ -816,7 +825,7 @@
                 return;
             };
             if request.resent {
-                // It had been sent on its first connection.
+                // It had been sent on its first connection, so a node may have executed it.
                 let answer = Answer::Ended { partial: false };
                 self.recorder.record(
                     self.port.unix(),
@@ -946,6 +955,7 @@
 /// Limit of the body of a memcached response, in bytes.
 const MAX_BODY_BYTES: usize = 5 << 20;
 
+/// A decoded response of a node, in either protocol.
 #[derive(Debug)]
 enum NodeReply {
     Resp(Reply),
@@ -1011,7 +1021,7 @@
         for (conn, event) in &events {
             match event {
                 ConnectionEvent::Connected => self.handle_connected(*conn),
-                ConnectionEvent::Received => self.handle_received(*conn),
+                ConnectionEvent::Received => self.read_replies(*conn),
                 ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => {
                     self.handle_close(*conn);
                 }
--- a/crates/testbed/src/emulators/discovery.rs
+++ b/crates/testbed/src/emulators/discovery.rs
@@ -22,6 +22,7 @@
 pub struct Listed {
     /// The server's number in the run.
     pub number: usize,
+    /// Unique id of the server, by which entries are updated.
     pub uid: String,
     pub endpoint: SocketAddr,
     pub zone: String,
@@ -49,6 +50,7 @@
 /// For each uid, the revision of its last change and its entry.
 type Entries = BTreeMap<String, (i64, Listed)>;
 
+/// The timers of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The watch on this connection (index and serial number) has reached its timeout.
@@ -84,11 +86,13 @@
     events: Vec<(usize, ConnectionEvent)>,
 }
 
-/// The current endpoint list, kept by the run: a discovery that starts receives it, and a node that restarts begins with
-/// the list that it had when it ended.
+/// The current endpoint list, kept by the run: a discovery that starts receives it, and a node that restarts begins
+/// with the list that it had when it ended.
 #[derive(Clone, Debug)]
 pub struct Roster {
+    /// Revision of the latest change.
     pub rev: i64,
+    /// The entries, without those of removed servers.
     pub list: Vec<Listed>,
 }
 
@@ -136,14 +140,14 @@
     /// An address cannot be listened on.
     pub fn new(
         net: N,
-        at: &[SocketAddr],
+        addresses: &[SocketAddr],
         rev: i64,
         list: &[Listed],
         command_queue: CommandQueue<ControlCommand>,
         recorder: Recorder,
     ) -> io::Result<Discovery<N>> {
         let mut port = Port::new(net);
-        for address in at {
+        for address in addresses {
             port.listen(*address)?;
         }
         Ok(Discovery {
@@ -167,10 +171,10 @@
     }
 
     fn read_request(&mut self, conn: usize) {
-        let Some(line) = self.port.connection(conn) else {
+        let Some(port_connection) = self.port.connection(conn) else {
             return;
         };
-        let (serial, buf) = (line.serial, &line.buf);
+        let (serial, buf) = (port_connection.serial, &port_connection.buf);
         let mut headers = [httparse::EMPTY_HEADER; 32];
         let mut request = httparse::Request::new(&mut headers);
         match request.parse(buf) {
@@ -179,7 +183,7 @@
             _ => return self.port.close(conn),
         }
         let path = request.path.unwrap_or_default().to_string();
-        line.buf.clear();
+        port_connection.buf.clear();
         let query = path.split_once('?').map_or("", |(_, q)| q);
         let number = |name: &str| -> Option<i64> {
             query
--- a/crates/testbed/src/emulators/idle_clients.rs
+++ b/crates/testbed/src/emulators/idle_clients.rs
@@ -87,8 +87,8 @@
                     .port
                     .send(*conn, Bytes::from_static(b"*1\r\n$4\r\nPING\r\n")),
                 ConnectionEvent::Received => {
-                    if let Some(line) = self.port.connection(*conn) {
-                        line.buf.clear();
+                    if let Some(port_connection) = self.port.connection(*conn) {
+                        port_connection.buf.clear();
                     }
                 }
                 ConnectionEvent::ReadClosed | ConnectionEvent::Failed { .. } => self.close(*conn),
--- a/crates/testbed/src/emulators/misbehaving_clients.rs
+++ b/crates/testbed/src/emulators/misbehaving_clients.rs
@@ -192,14 +192,16 @@
                 }
                 ConnectionEvent::Received => {
                     let memcached = c.memcached;
-                    let Some(line) = self.port.connection(*conn) else {
+                    let Some(port_connection) = self.port.connection(*conn) else {
                         continue;
                     };
                     let got_error = if memcached {
                         // The response has a status other than success.
-                        line.buf.len() >= 8 && line.buf[0] == 0x81 && line.buf[6..8] != [0, 0]
+                        port_connection.buf.len() >= 8
+                            && port_connection.buf[0] == 0x81
+                            && port_connection.buf[6..8] != [0, 0]
                     } else {
-                        line.buf.first() == Some(&b'-')
+                        port_connection.buf.first() == Some(&b'-')
                     };
                     self.end(*conn, got_error, !got_error);
                 }
--- a/crates/testbed/src/emulators/origin.rs
+++ b/crates/testbed/src/emulators/origin.rs
@@ -1,7 +1,7 @@
 //! Emulator of the origin: a few workers, a bounded queue, and periods of slowness as a fault.
 //!
-//! The origin applies writes, drops repeats of a write within a deduplication window, and invalidates the keys that cache
-//! servers have in their caches.
+//! The origin applies writes, drops repeats of a write within a deduplication window, and invalidates the keys that
+//! cache servers have in their caches.
 //!
 //! Each cache server keeps one connection and numbers its calls (RESP2; the answers come in any order). The origin
 //! answers `O.GET tag key` and `O.SET tag key id idem` (`-`: no idempotency key) with `[tag, version]`, or with
@@ -42,6 +42,7 @@
     pub window: Micros,
     /// A fetch of a key waits for the result of one that is already in flight.
     pub share_fetches: bool,
+    /// Seed of the origin's random stream.
     pub seed: u64,
 }
 
@@ -305,16 +306,16 @@
 
     fn read_calls(&mut self, conn: usize) {
         let mut commands = Vec::new();
-        let Some(line) = self.port.connection(conn) else {
+        let Some(port_connection) = self.port.connection(conn) else {
             return;
         };
         let reader = self.readers.entry(conn).or_default();
         let mut buf = BytesMut::new();
-        std::mem::swap(&mut buf, &mut line.buf);
+        std::mem::swap(&mut buf, &mut port_connection.buf);
         while let Ok(Some(command)) = reader.next(&mut buf, &mut ByteBudget::new(0)) {
             commands.push(command.words);
         }
-        line.buf = buf;
+        port_connection.buf = buf;
         for words in commands {
             self.handle_call(conn, &words);
         }
--- a/crates/testbed/src/emulators/persistent_clients.rs
+++ b/crates/testbed/src/emulators/persistent_clients.rs
@@ -1,8 +1,8 @@
 //! Emulator of clients that use each connection until the node closes it.
 //!
-//! Each node has a fixed set of connections of several [`Usage`]s. A connection carries requests until the node closes it,
-//! also while that node shuts down. Clients replace it as long as the load balancer sends new connections to the node. They
-//! report the outcome of each request to the checker: its answer, or the end of its connection without one.
+//! Each node has a fixed set of connections of several [`Usage`]s. A connection carries requests until the node closes
+//! it, also while that node shuts down. Clients replace it as long as the load balancer sends new connections to the
+//! node. They report the outcome of each request to the checker: its answer, or the end of its connection without one.
 
 use std::collections::{HashMap, VecDeque};
 use std::io;
@@ -147,7 +147,7 @@
         self.recorder.record(self.port.unix(), event);
     }
 
-    /// Opens a connection, unless its time is over or the load balancer does not use the node.
+    /// Opens a connection, unless no more requests are to be sent or the load balancer does not list the node.
     fn open(&mut self, node: usize, position: Option<usize>) {
         let now = self.port.now();
         if now >= self.settings.until || position.is_some() && !self.is_listed[node] {
@@ -157,7 +157,10 @@
             return self.reopen_later(node, position);
         };
         let connection = Connection {
-            serial: self.port.connection(key).map_or(0, |line| line.serial),
+            serial: self
+                .port
+                .connection(key)
+                .map_or(0, |port_connection| port_connection.serial),
             node,
             position,
             is_up: false,
@@ -296,10 +299,10 @@
             let Some(connection) = self.connections.get_mut(&key) else {
                 return;
             };
-            let Some(line) = self.port.connection(key) else {
+            let Some(port_connection) = self.port.connection(key) else {
                 return;
             };
-            match connection.reader.next(&mut line.buf) {
+            match connection.reader.next(&mut port_connection.buf) {
                 Ok(Some(DecodeEvent::Complete(reply))) => {
                     connection.has_partial_answer = false;
                     self.handle_reply(key, &reply);
@@ -307,7 +310,7 @@
                 Ok(Some(_)) => connection.has_partial_answer = true,
                 Ok(None) => {
                     connection.has_partial_answer =
-                        connection.reader.is_mid_message() || !line.buf.is_empty();
+                        connection.reader.is_mid_message() || !port_connection.buf.is_empty();
                     return;
                 }
                 Err(error) => {
--- a/crates/testbed/src/real_fleet/mod.rs
+++ b/crates/testbed/src/real_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet on real sockets, on loopback: each emulator runs on a thread of its own, each node on a thread or as a process
-//! of its own.
+//! A fleet on real sockets, on loopback: each emulator runs on a thread of its own, each node on a thread or as a
+//! process of its own.
 //!
 //! Dropping the fleet ends all of it: threads are stopped and joined, processes that still run are killed.
 
@@ -129,7 +129,7 @@
 
     /// Starts discovery with the current list, at this revision.
     fn run_discovery(&mut self, rev: i64) {
-        let at = self
+        let addresses = self
             .discovery_addresses
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -143,7 +143,7 @@
         let started = ServingThread::start("discovery", move || {
             Ok(Box::new(Discovery::new(
                 MioTransport::new()?,
-                &at,
+                &addresses,
                 rev,
                 &list,
                 command_queue,
@@ -229,12 +229,12 @@
 
     /// Starts the origin.
     pub(crate) fn start_origin(&mut self) -> io::Result<()> {
-        let set = site::origin(self.origin, self.seed, &self.scenario);
+        let settings = site::origin(self.origin, self.seed, &self.scenario);
         let (commands, recorder) = (self.origin_commands.clone(), self.recorder.clone());
         let thread = ServingThread::start("origin", move || {
             Ok(Box::new(Origin::new(
                 MioTransport::new()?,
-                set,
+                settings,
                 commands,
                 recorder,
             )?))
@@ -259,7 +259,7 @@
     /// Starts well-behaved clients.
     pub(crate) fn start_clients(&mut self) -> io::Result<()> {
         let until = (self.scenario.seconds * 1e6) as Micros;
-        let set = site::clients(
+        let settings = site::clients(
             self.addresses(),
             self.memcached_addresses(),
             self.protocols,
@@ -270,7 +270,7 @@
         let (commands, recorder) = (self.clients_commands.clone(), self.recorder.clone());
         let thread = ServingThread::start("clients", move || {
             let net = MioTransport::new()?;
-            Ok(Box::new(ClientPool::new(net, set, commands, recorder)))
+            Ok(Box::new(ClientPool::new(net, settings, commands, recorder)))
         })?;
         self.emulator_threads.push(thread);
         Ok(())
@@ -459,13 +459,13 @@
             return;
         };
         let memcached = self.protocols.server_uses_memcached(number, &self.scenario);
-        let set =
+        let settings =
             site::cache_server_settings(number, address, self.origin, cold, memcached, self.seed);
         let (commands, recorder) = (command_queue.clone(), self.recorder.clone());
         let started = ServingThread::start(&format!("box-{number}"), move || {
             Ok(Box::new(CacheServer::new(
                 MioTransport::new()?,
-                set,
+                settings,
                 commands,
                 recorder,
             )?))
@@ -670,7 +670,7 @@
             }
         }
         self.run_discovery(self.roster.rev);
-        let at = self
+        let addresses = self
             .discovery_addresses
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -682,7 +682,7 @@
             .filter_map(|(i, n)| Some((i, n.served.as_mut()?)))
         {
             if let RunningNode::Process(process) = running {
-                if let Err(e) = process.moves(at[node]) {
+                if let Err(e) = process.moves(addresses[node]) {
                     self.announcements.push(format!(
                         "cannot write the address of discovery for node {node}: {e}"
                     ));
