--- a/crates/decision/benches/module.rs
+++ b/crates/decision/benches/module.rs
@@ -34,7 +34,7 @@
             share: 1.0,
         }],
         nodes: 4,
-        poll: false,
+        poll_endpoint_list: false,
         poll_within: 0,
         tick: 2_000,
         max_in_flight: 100_000,
@@ -85,7 +85,7 @@
             budget: 400_000,
             work: None,
             size: None,
-            retry: false,
+            is_client_retry: false,
             write: n % 12 == 0,
         };
         actions.clear();
@@ -101,7 +101,7 @@
             attempt: 0,
             latency: 20_000,
             status: Status::Ok,
-            closed: true,
+            is_final: true,
             cache_result: Some(CacheResult::Hit),
             load: None,
         });
--- a/crates/decision/src/admission.rs
+++ b/crates/decision/src/admission.rs
@@ -25,10 +25,13 @@
         if useful_until <= now {
             return Some(DecisionReason::BudgetTooShort);
         }
-        if over_quota && self.averages.late > OVER_QUOTA_LATE_FRACTION {
+        if over_quota && self.failure_fractions.late > OVER_QUOTA_LATE_FRACTION {
             return Some(DecisionReason::OverQuota);
         }
-        if self.origin_health.sheds(now, kind, || self.rng.next_unit()) {
+        if self
+            .origin_health
+            .should_shed(now, kind, || self.rng.next_unit())
+        {
             return Some(DecisionReason::OriginOverload);
         }
         if !self.is_admitted(now, serial) {
@@ -46,7 +49,7 @@
         let request = &self.in_flight.requests[&serial];
         let deadline = self.settings.classes[request.request.class].deadline;
         self.origin_health
-            .admits(now, request.kind(), deadline, || self.rng.next_unit())
+            .should_admit(now, request.kind(), deadline, || self.rng.next_unit())
     }
 
     /// Returns whether a request is beyond what its server can answer in time. Guards against queues that
@@ -64,7 +67,7 @@
         } else {
             0.0
         };
-        let is_late = self.averages.late > OVERRUN_LATE_FRACTION;
+        let is_late = self.failure_fractions.late > OVERRUN_LATE_FRACTION;
         if !server.is_timely() && is_late && distance >= server.timely_fraction {
             return true;
         }
--- a/crates/decision/src/admission_tests.rs
+++ b/crates/decision/src/admission_tests.rs
@@ -20,7 +20,7 @@
         server.timely_fraction = 0.5;
     }
     for (late, least, most) in [(0.0, 0.99, 1.0), (0.5, 0.4, 0.6)] {
-        node.averages.late = late;
+        node.failure_fractions.late = late;
         let sent = keys_of_home
             .iter()
             .filter(|n| send_request(&mut node, 2000, **n + 5000 * (late * 2.0) as u32).is_some());
--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -103,7 +103,7 @@
     /// This node's zone. None if unknown.
     pub zone: Option<u16>,
     /// True if the endpoint list must be polled, false if discovery sends watch events.
-    pub poll: bool,
+    pub poll_endpoint_list: bool,
     /// Without a subscription, the endpoint list must be polled at least this often.
     pub poll_within: Micros,
     /// How cache misses are served.
@@ -295,7 +295,7 @@
     /// Size of the value in bytes, if known.
     pub size: Option<f64>,
     /// Whether it is known to be a client's retry.
-    pub retry: bool,
+    pub is_client_retry: bool,
     /// Whether it is a write.
     pub write: bool,
 }
@@ -314,7 +314,7 @@
     /// How it ended.
     pub status: Status,
     /// Whether the request has its final response.
-    pub closed: bool,
+    pub is_final: bool,
     /// Whether the server answered from its cache, if known.
     pub cache_result: Option<CacheResult>,
     /// Load report, if the response carried one.
--- a/crates/decision/src/balancer.rs
+++ b/crates/decision/src/balancer.rs
@@ -23,7 +23,7 @@
 use crate::recently_served::RecentlyServed;
 use crate::retry::RetryBudget;
 use crate::rng::Rng;
-use crate::server_health::{AttemptEvidence, FailureAverages, Server};
+use crate::server_health::{AttemptEvidence, FailureFractions, Server};
 use crate::slow_start::SlowStart;
 use crate::status::DecisionReason;
 use crate::tenant_quota::TenantQuotas;
@@ -46,7 +46,7 @@
     /// Checkpoint of the previous process, until a complete endpoint list names one of its servers.
     pub(crate) restored: Option<RestoredCheckpoint>,
     pub(crate) latencies: LatencyEstimates,
-    pub(crate) averages: FailureAverages,
+    pub(crate) failure_fractions: FailureFractions,
     pub(crate) outliers: OutlierDetector,
     pub(crate) slow_start: SlowStart,
     pub(crate) zone_health: ZoneHealth,
@@ -78,7 +78,7 @@
             endpoint_list_polls: EndpointListPolls::default(),
             restored: None,
             latencies: LatencyEstimates::new(objectives),
-            averages: FailureAverages::default(),
+            failure_fractions: FailureFractions::default(),
             outliers: OutlierDetector::default(),
             slow_start: SlowStart::new(&settings, seed),
             zone_health: ZoneHealth::default(),
@@ -128,7 +128,7 @@
         self.partition.record_arrival(position, key);
         self.slow_start.record_arrival(now);
         self.update_bounds_if_due(now);
-        self.retry_budget.refill(self.averages.late);
+        self.retry_budget.refill(self.failure_fractions.late);
         let arrivals = self.partition.hot_keys.arrivals;
         let over_quota = self
             .tenant_quotas
@@ -190,8 +190,8 @@
             self.record_served(now, serial, outcome);
         }
         self.record_retry(now, serial, outcome);
-        if outcome.closed {
-            self.record_answer(outcome, &evidence);
+        if outcome.is_final {
+            self.record_final_response(outcome, &evidence);
             self.end_request(serial, false, actions);
         } else if outcome.status == Status::Miss && !self.admit_fetch(now, serial) {
             self.finish(now, serial, DecisionReason::Admission, actions);
--- a/crates/decision/src/checkpoint.rs
+++ b/crates/decision/src/checkpoint.rs
@@ -232,10 +232,10 @@
                 mean_log: latencies.mean_log.clone(),
                 samples: latencies.samples.clone(),
             },
-            late: self.averages.late,
+            late: self.failure_fractions.late,
             retry_success: self.retry_budget.success_fraction,
-            silent: self.averages.silent,
-            reset: self.averages.reset,
+            silent: self.failure_fractions.silent,
+            reset: self.failure_fractions.reset,
             admitted_fraction: self.origin_health.admitted_fraction,
             retry_tokens: self.retry_budget.tokens,
         }
@@ -289,9 +289,9 @@
             self.latencies.mean_log.clone_from(&saved.mean_log);
             self.latencies.samples.clone_from(&saved.samples);
         }
-        self.averages.late = checkpoint.late;
-        self.averages.silent = checkpoint.silent.max(MIN_SILENT_FRACTION);
-        self.averages.reset = checkpoint.reset;
+        self.failure_fractions.late = checkpoint.late;
+        self.failure_fractions.silent = checkpoint.silent.max(MIN_SILENT_FRACTION);
+        self.failure_fractions.reset = checkpoint.reset;
         self.retry_budget.success_fraction = checkpoint.retry_success;
         self.retry_budget.tokens = checkpoint.retry_tokens.min(MAX_TOKENS);
         self.origin_health.admitted_fraction =
@@ -380,7 +380,7 @@
             .saturating_sub(partition.max_window());
         partition.window = checkpoint.window.into_iter().skip(skipped).collect();
         partition.updates = checkpoint.updates;
-        partition.updated = taken;
+        partition.last_update = taken;
         let arrivals = checkpoint.arrivals;
         let restore = |saved: SavedHotKey| {
             let count = KeyCount {
--- a/crates/decision/src/in_flight.rs
+++ b/crates/decision/src/in_flight.rs
@@ -189,7 +189,7 @@
                     attempt: number,
                 });
             }
-            self.record_end_of_attempt(&attempt.server);
+            self.decrement_pending_attempts(&attempt.server);
         }
     }
 }
--- a/crates/decision/src/membership.rs
+++ b/crates/decision/src/membership.rs
@@ -54,11 +54,11 @@
             self.update_weights();
             if first || changed * 2 > self.partition.servers.len() {
                 self.partition.blend_bounds(&self.weights, 1.0);
-                self.partition.updated = now;
+                self.partition.last_update = now;
             }
         }
         match kind {
-            EndpointListKind::Cached if self.settings.poll => {
+            EndpointListKind::Cached if self.settings.poll_endpoint_list => {
                 self.schedule_endpoint_list_poll(actions);
             }
             _ => self.endpoint_list_polls.failures = 0,
@@ -193,7 +193,7 @@
     }
 
     fn schedule_endpoint_list_poll(&mut self, actions: &mut Actions) {
-        if !self.settings.poll || self.endpoint_list_polls.timer_set {
+        if !self.settings.poll_endpoint_list || self.endpoint_list_polls.timer_set {
             return;
         }
         self.endpoint_list_polls.timer_set = true;
--- a/crates/decision/src/origin_health.rs
+++ b/crates/decision/src/origin_health.rs
@@ -92,8 +92,10 @@
             (Some(Status::Ok), _) if kind == RequestKind::Write => Outcome::ServedByOrigin,
             (Some(Status::Ok), Some(CacheResult::Hit)) => Outcome::ServedFromCache,
             (Some(Status::Ok), Some(_)) => Outcome::ServedByOrigin,
-            (Some(Status::Ok), None) => Outcome::ServedBySomeone,
-            (None | Some(Status::Timeout | Status::Rejected | Status::Error), _) => Outcome::Late,
+            (Some(Status::Ok), None) => Outcome::ServedByUnknownSource,
+            (None | Some(Status::Timeout | Status::Rejected | Status::Error), _) => {
+                Outcome::NotServedInTime
+            }
             _ => return,
         };
         self.detector.record(now, kind, outcome);
@@ -102,7 +104,7 @@
     /// Whether a request is rejected at once because the origin is overloaded or was a moment ago: more
     /// requests than it can serve would only lengthen its queue until nothing is answered in time. `drawn`
     /// returns a random number from 0 to 1.
-    pub(crate) fn sheds(
+    pub(crate) fn should_shed(
         &mut self,
         now: Micros,
         kind: RequestKind,
@@ -120,7 +122,7 @@
 
     /// Whether a request is admitted while servers may be failing. `drawn` returns a random number from 0
     /// to 1.
-    pub(crate) fn admits(
+    pub(crate) fn should_admit(
         &mut self,
         now: Micros,
         kind: RequestKind,
--- a/crates/decision/src/origin_health_tests.rs
+++ b/crates/decision/src/origin_health_tests.rs
@@ -123,7 +123,7 @@
         budget: 500_000,
         work: None,
         size: None,
-        retry: false,
+        is_client_retry: false,
         write: false,
     };
     node.handle(now, Event::Request(request), &mut sent);
@@ -217,7 +217,7 @@
                 attempt,
                 latency: 1_000,
                 status: Status::Rejected,
-                closed: false,
+                is_final: false,
                 cache_result: None,
                 load: None,
             });
--- a/crates/decision/src/outlier_detection.rs
+++ b/crates/decision/src/outlier_detection.rs
@@ -270,7 +270,7 @@
 /// Ravishankar; the logarithmic form for weights). The candidate with the highest score is chosen. When the
 /// weight of a candidate changes, only keys move that it gains or loses. `key_server_hash` is a hash of key
 /// and server.
-pub fn rendezvous(key_server_hash: u64, weight: f64) -> f64 {
+pub fn rendezvous_score(key_server_hash: u64, weight: f64) -> f64 {
     let drawn = ((key_server_hash >> 11) as f64 + 0.5) / (1u64 << 53) as f64;
     // The highest draw would round to 1, whose logarithm is 0.
     -weight.max(1e-9) / drawn.min(MAX_DRAW).ln()
--- a/crates/decision/src/partition.rs
+++ b/crates/decision/src/partition.rs
@@ -39,7 +39,7 @@
     arrivals_since_update: usize,
     /// Number of updates of the boundaries, and the time of the last one.
     pub(crate) updates: f64,
-    pub(crate) updated: Micros,
+    pub(crate) last_update: Micros,
 }
 
 impl Partition {
@@ -202,9 +202,9 @@
         let blend_time = (self.settings.warm_up_time as f64 * BLEND_FRACTION).max(1.0);
         let partition = &mut self.partition;
         partition.updates += 1.0;
-        let time_fraction = 1.0 - (-((now - partition.updated) as f64) / blend_time).exp();
+        let time_fraction = 1.0 - (-((now - partition.last_update) as f64) / blend_time).exp();
         partition.blend_bounds(&self.weights, time_fraction.max(1.0 / partition.updates));
-        partition.updated = now;
+        partition.last_update = now;
     }
 }
 
--- a/crates/decision/src/partition_tests.rs
+++ b/crates/decision/src/partition_tests.rs
@@ -2,13 +2,13 @@
 use crate::api::{Endpoint, EndpointListKind, Event};
 use crate::hash::unit_interval;
 use crate::rng::Rng;
-use crate::test_support::{entry, kind, node};
+use crate::test_support::{kind_estimate, live_endpoint, node};
 
 /// A partition of `n` servers with equal ranges.
 fn partition(n: usize) -> Partition {
     let mut partition = Partition::default();
     for i in 0..n {
-        partition.join(Server::new(entry(&format!("s{i}"))));
+        partition.join(Server::new(live_endpoint(&format!("s{i}"))));
     }
     partition.blend_bounds(&vec![1.0; n], 1.0);
     partition.reindex();
@@ -86,7 +86,7 @@
         .iter()
         .map(|s| (s.entry.server.clone(), s.upper_bound))
         .collect();
-    partition.join(Server::new(entry("joiner")));
+    partition.join(Server::new(live_endpoint("joiner")));
     let moved = partition
         .servers
         .iter()
@@ -109,8 +109,8 @@
     let mut a = Partition::default();
     let mut b = Partition::default();
     for i in 0..20 {
-        a.join(Server::new(entry(&format!("s{i}"))));
-        b.join(Server::new(entry(&format!("s{}", 19 - i))));
+        a.join(Server::new(live_endpoint(&format!("s{i}"))));
+        b.join(Server::new(live_endpoint(&format!("s{}", 19 - i))));
     }
     let ids = |partition: &Partition| {
         partition
@@ -164,7 +164,7 @@
         let list = (0..80)
             .map(|i| Endpoint {
                 kind: Some(i % 2),
-                ..entry(&format!("s{i}"))
+                ..live_endpoint(&format!("s{i}"))
             })
             .collect();
         node.handle(
@@ -176,7 +176,7 @@
     let (mut a, mut b) = (node(0.0, 0), node(0.0, 0));
     list_servers(&mut a);
     b.latencies.kinds = [0.0, -0.125, 0.125]
-        .map(|log| kind(log * 1e6, if log == 0.0 { 0.0 } else { 1e6 }))
+        .map(|log| kind_estimate(log * 1e6, if log == 0.0 { 0.0 } else { 1e6 }))
         .to_vec();
     list_servers(&mut b);
     b.update_weights();
--- a/crates/decision/src/retry.rs
+++ b/crates/decision/src/retry.rs
@@ -116,7 +116,7 @@
 
     /// Records silent attempts when the hedging delay has passed, and hedges if allowed and useful.
     pub(crate) fn on_hedge_timer(&mut self, now: Micros, serial: u64, actions: &mut Actions) {
-        self.record_silence(now, serial, actions);
+        self.record_overdue_attempts(now, serial, actions);
         let request = self.in_flight.requests.get(&serial);
         let awaits_one_attempt =
             request.is_some_and(|r| !r.streaming && !r.missed && r.pending_attempts() == 1);
--- a/crates/decision/src/retry_tests.rs
+++ b/crates/decision/src/retry_tests.rs
@@ -83,7 +83,7 @@
             attempt: 0,
             latency,
             status: Status::Error,
-            closed: false,
+            is_final: false,
             cache_result: None,
             load: None,
         });
@@ -135,12 +135,12 @@
             attempt: 1,
             latency: 1000,
             status: if n < 100 { Status::Timeout } else { Status::Ok },
-            closed: n >= 100,
+            is_final: n >= 100,
             cache_result: None,
             load: None,
         });
         node.handle(1000, event, &mut Vec::new());
-        node.averages.late = 0.0;
+        node.failure_fractions.late = 0.0;
         if n == 99 {
             let least = refill(&mut node);
             assert!(least > 0.0 && least < full / 5.0, "{least} of {full}");
@@ -153,7 +153,7 @@
 #[test]
 fn no_retries_while_responses_are_late() {
     let mut node = node(0.0, 8);
-    (node.averages.late, node.retry_budget.tokens) = (0.5, 0.0);
+    (node.failure_fractions.late, node.retry_budget.tokens) = (0.5, 0.0);
     for n in 0..50 {
         if let Some(server) = send_request(&mut node, 1000, n) {
             let actions = end_attempt(&mut node, 1000, n, &server, Status::Rejected);
--- a/crates/decision/src/selection.rs
+++ b/crates/decision/src/selection.rs
@@ -5,7 +5,7 @@
 use crate::balancer::Balancer;
 use crate::hash::{mix, unit_interval};
 use crate::in_flight::InFlightRequest;
-use crate::outlier_detection::{rendezvous, PROBE_FRACTION};
+use crate::outlier_detection::{rendezvous_score, PROBE_FRACTION};
 use crate::server_health::Server;
 
 /// A home server is busy if its pending attempts exceed this multiple of the requests per server, plus one.
@@ -140,7 +140,7 @@
             let server = &servers[*i];
             let weight = self.weights.get(*i);
             let weight = weight.map_or(1.0, |weight| weight * server.timely_fraction);
-            rendezvous(mix(request.position.to_bits() ^ server.order), weight)
+            rendezvous_score(mix(request.position.to_bits() ^ server.order), weight)
         };
         (0..servers.len())
             .filter(is_candidate)
@@ -205,7 +205,7 @@
         if self.warm_up_fraction(now, server) >= 1.0 {
             return fraction >= 1.0 || distance < fraction;
         }
-        self.is_within_slow_start(now, index, distance, fraction)
+        self.is_within_slow_start_quota(now, index, distance, fraction)
     }
 }
 
--- a/crates/decision/src/server_health.rs
+++ b/crates/decision/src/server_health.rs
@@ -1,6 +1,6 @@
 //! Server health: detects servers that fail or do not respond, from the outcomes of attempts and probes.
 //!
-//! [`Server`] holds the state of one server, [`FailureAverages`] this node's averages over all servers. A
+//! [`Server`] holds the state of one server, [`FailureFractions`] this node's averages over all servers. A
 //! server is ejected when its failures in a row are unlikely to be chance. Each further ejection lasts
 //! twice as long; when one has expired, one attempt at a time is sent as a probe. Outliers, whose failures
 //! are interspersed with successes, are detected by [`crate::outlier_detection`].
@@ -123,7 +123,7 @@
 }
 
 /// Moving averages over the requests and attempts that this node finished last, at all servers.
-pub(crate) struct FailureAverages {
+pub(crate) struct FailureFractions {
     /// Fraction of requests that failed or were answered after their latency objective.
     pub(crate) late: f64,
     /// Fraction of attempts that were not answered within their expected latency.
@@ -133,9 +133,9 @@
     pub(crate) reset: f64,
 }
 
-impl Default for FailureAverages {
-    fn default() -> FailureAverages {
-        FailureAverages {
+impl Default for FailureFractions {
+    fn default() -> FailureFractions {
+        FailureFractions {
             late: 0.0,
             silent: MIN_SILENT_FRACTION,
             reset: 0.0,
@@ -143,7 +143,7 @@
     }
 }
 
-impl FailureAverages {
+impl FailureFractions {
     /// Records the end of a request. `late`: it failed or was answered after its latency objective.
     pub(crate) fn record_request(&mut self, late: bool) {
         self.late += (f64::from(u8::from(late)) - self.late) / AVERAGING_SPAN;
@@ -197,7 +197,8 @@
         let latency_fraction =
             (outcome.latency as f64 / expected.max(1) as f64).clamp(MIN_LATENCY_FRACTION, 1.0);
         let quick_error = status == Status::Error && latency_fraction < QUICK_ERROR_FRACTION;
-        // An attempt beyond its expected latency has already been counted as a failure by `record_silence`.
+        // An attempt beyond its expected latency has already been counted as a failure by
+        // `record_overdue_attempts`.
         let answered = matches!(status, Status::Ok | Status::Miss) && outcome.latency < expected;
         AttemptEvidence {
             kind: request.kind(),
@@ -304,8 +305,10 @@
             Some(Status::ConnectFailed) => Some(EJECTION_ODDS.ln()),
             // Two resets in a row eject a server only where few connections break. Guards against ejecting
             // healthy servers when idle connections end at all of them.
-            Some(Status::Reset) => Some((EJECTION_ODDS.ln() / 2.0).min(-self.averages.reset.ln())),
-            None => Some(-self.averages.silent.max(MIN_SILENT_FRACTION).ln()),
+            Some(Status::Reset) => {
+                Some((EJECTION_ODDS.ln() / 2.0).min(-self.failure_fractions.reset.ln()))
+            }
+            None => Some(-self.failure_fractions.silent.max(MIN_SILENT_FRACTION).ln()),
             // Timeouts and late errors may be caused by the origin or the load as well as by the server.
             Some(_) => None,
         }
@@ -320,7 +323,7 @@
         actions: &mut Actions,
     ) {
         self.observe_server(now, &outcome.server, Some(outcome.status), actions);
-        self.averages.record_connection(outcome.status);
+        self.failure_fractions.record_connection(outcome.status);
     }
 
     /// Updates the outlier detector and the failing fraction of the server when an attempt of a request in
@@ -359,19 +362,23 @@
     }
 
     /// Decrements the number of pending attempts of a server.
-    pub(crate) fn record_end_of_attempt(&mut self, server: &ServerId) {
+    pub(crate) fn decrement_pending_attempts(&mut self, server: &ServerId) {
         if let Some(server) = self.partition_server(server) {
             server.end_attempt();
         }
     }
 
     /// Records the response that an attempt gave to its request as the final one.
-    pub(crate) fn record_answer(&mut self, outcome: &AttemptOutcome, evidence: &AttemptEvidence) {
+    pub(crate) fn record_final_response(
+        &mut self,
+        outcome: &AttemptOutcome,
+        evidence: &AttemptEvidence,
+    ) {
         let late = evidence.past_objective;
         // A late response that was fetched is not counted: the origin may have delayed it, however little
         // load the servers have.
         if outcome.is_hit() || !late {
-            self.averages
+            self.failure_fractions
                 .record_request(outcome.status != Status::Ok || late);
         }
     }
@@ -389,7 +396,7 @@
         attempt.status = Some(outcome.status);
         let timely = !attempt.silent && matches!(outcome.status, Status::Ok | Status::Miss);
         if timely {
-            self.averages.record_answered();
+            self.failure_fractions.record_answered();
         }
         let Some(server) = self.partition_server(&outcome.server) else {
             return;
@@ -424,7 +431,12 @@
 
     /// Marks the attempts of a request that have exceeded their expected latency as silent, and counts them
     /// against their servers. Attempts of a streamed response are exempt.
-    pub(crate) fn record_silence(&mut self, now: Micros, serial: u64, actions: &mut Actions) {
+    pub(crate) fn record_overdue_attempts(
+        &mut self,
+        now: Micros,
+        serial: u64,
+        actions: &mut Actions,
+    ) {
         let request = self.in_flight.requests.get_mut(&serial);
         let Some(request) = request.filter(|r| !r.streaming) else {
             return;
@@ -446,7 +458,7 @@
                 }
                 self.outliers.record(now, &id, kind, true, servers);
             }
-            self.averages.record_silent();
+            self.failure_fractions.record_silent();
             self.observe_server(now, &id, None, actions);
         }
     }
@@ -474,7 +486,7 @@
             }
         }
         if counts_as_late {
-            self.averages.record_request(true);
+            self.failure_fractions.record_request(true);
         }
         if first_pending {
             self.origin_health.record_attempt(now, kind, None, None);
--- a/crates/decision/src/server_health_tests.rs
+++ b/crates/decision/src/server_health_tests.rs
@@ -8,7 +8,7 @@
         (2..=3).contains(&silent_attempts_until_ejected(&mut node(0.0, 8), true).expect("ejected"))
     );
     let mut slow = node(0.0, 8);
-    slow.averages.silent = 0.7;
+    slow.failure_fractions.silent = 0.7;
     assert!(silent_attempts_until_ejected(&mut slow, true).is_none_or(|n| n > 10));
 }
 
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -41,7 +41,7 @@
 
     /// Adds the index of the item in its batch, unless the error has one already.
     #[must_use]
-    pub fn at(mut self, item: usize) -> SettingsError {
+    pub fn at_item(mut self, item: usize) -> SettingsError {
         self.item.get_or_insert(item);
         self
     }
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// [`SettingsError`] if the value is not an object.
-    pub fn of(value: &'a Value, name: &str) -> Result<Fields<'a>, SettingsError> {
+    pub fn from_value(value: &'a Value, name: &str) -> Result<Fields<'a>, SettingsError> {
         value
             .as_object()
             .map(Fields)
@@ -64,7 +64,7 @@
     }
 
     /// The value of the field; None if it is absent or null.
-    pub fn opt(&self, name: &str) -> Option<&'a Value> {
+    pub fn get_optional(&self, name: &str) -> Option<&'a Value> {
         self.0.get(name).filter(|v| !v.is_null())
     }
 
@@ -74,7 +74,7 @@
     ///
     /// [`SettingsError`] if the field is absent or null.
     pub fn get(&self, name: &str) -> Result<&'a Value, SettingsError> {
-        self.opt(name)
+        self.get_optional(name)
             .ok_or_else(|| SettingsError::new(name, "is missing"))
     }
 
@@ -106,7 +106,7 @@
     /// # Errors
     ///
     /// [`SettingsError`] if the field is missing or has another type.
-    pub fn seed(&self, name: &str) -> Result<u64, SettingsError> {
+    pub fn u64_bits(&self, name: &str) -> Result<u64, SettingsError> {
         let v = self.get(name)?;
         v.as_u64()
             .or_else(|| v.as_i64().map(|n| n as u64))
@@ -130,7 +130,8 @@
     ///
     /// [`SettingsError`] if the field has another type.
     pub fn number_or(&self, name: &str, default: f64) -> Result<f64, SettingsError> {
-        self.opt(name).map_or(Ok(default), |_| self.number(name))
+        self.get_optional(name)
+            .map_or(Ok(default), |_| self.number(name))
     }
 
     /// The field as a number; None if it is absent.
@@ -139,7 +140,9 @@
     ///
     /// [`SettingsError`] if the field has another type.
     pub fn opt_number(&self, name: &str) -> Result<Option<f64>, SettingsError> {
-        self.opt(name).map(|_| self.number(name)).transpose()
+        self.get_optional(name)
+            .map(|_| self.number(name))
+            .transpose()
     }
 
     /// The field, a number of milliseconds, in microseconds.
@@ -158,7 +161,8 @@
     ///
     /// [`SettingsError`] if the field has another type.
     pub fn micros_or(&self, name: &str, default: Micros) -> Result<Micros, SettingsError> {
-        self.opt(name).map_or(Ok(default), |_| self.micros(name))
+        self.get_optional(name)
+            .map_or(Ok(default), |_| self.micros(name))
     }
 
     /// The field as true or false.
@@ -178,7 +182,8 @@
     ///
     /// [`SettingsError`] if the field has another type.
     pub fn flag_or(&self, name: &str, default: bool) -> Result<bool, SettingsError> {
-        self.opt(name).map_or(Ok(default), |_| self.flag(name))
+        self.get_optional(name)
+            .map_or(Ok(default), |_| self.flag(name))
     }
 
     /// The field as an array.
@@ -259,7 +264,7 @@
     }
 
     /// The entry with its labels as numbers.
-    pub fn entry(&self, raw: &RawEndpoint) -> Endpoint {
+    pub fn endpoint(&self, raw: &RawEndpoint) -> Endpoint {
         let number = |labels, name: Option<&str>| name.map(|name| number_label(labels, name));
         Endpoint {
             server: raw.server.clone(),
@@ -274,7 +279,7 @@
 }
 
 fn parse_names(fields: &Fields<'_>, field: &str) -> Result<Vec<String>, SettingsError> {
-    let Some(value) = fields.opt(field) else {
+    let Some(value) = fields.get_optional(field) else {
         return Ok(Vec::new());
     };
     let list = value
@@ -290,7 +295,7 @@
 }
 
 fn parse_class(value: &Value) -> Result<(String, Class), SettingsError> {
-    let fields = Fields::of(value, "classes")?;
+    let fields = Fields::from_value(value, "classes")?;
     let idempotency = match fields.text("repeat")? {
         "free" => Idempotency::Idempotent,
         "guarded" => Idempotency::Keyed,
@@ -335,14 +340,14 @@
 
 fn parse_tenants(fields: &Fields<'_>) -> Result<(Vec<String>, Vec<Tenant>), SettingsError> {
     let (mut names, mut tenants) = (Vec::new(), Vec::new());
-    let Some(value) = fields.opt("realms") else {
+    let Some(value) = fields.get_optional("realms") else {
         return Ok((names, tenants));
     };
     let list = value
         .as_array()
         .ok_or_else(|| SettingsError::new("realms", "is not an array"))?;
     for value in list {
-        let tenant = Fields::of(value, "realms")?;
+        let tenant = Fields::from_value(value, "realms")?;
         names.push(tenant.text("name")?.to_string());
         tenants.push(Tenant {
             quota_per_s: tenant.number_or("quota_per_s", 0.0)?,
@@ -363,7 +368,7 @@
 
 fn parse_cache_mode(domain: &Fields<'_>) -> Result<CacheMode, SettingsError> {
     let mode = domain
-        .opt("mode")
+        .get_optional("mode")
         .map(|_| domain.text("mode"))
         .transpose()?;
     match mode {
@@ -374,7 +379,7 @@
 }
 
 fn parse_weight_meaning(fields: &Fields<'_>) -> WeightMeaning {
-    match fields.opt("weights").and_then(Value::as_str) {
+    match fields.get_optional("weights").and_then(Value::as_str) {
         Some("nominal" | "rough") => WeightMeaning::Size,
         Some("live") => WeightMeaning::Live,
         _ => WeightMeaning::None,
@@ -387,11 +392,14 @@
 }
 
 fn opt_int(fields: &Fields<'_>, field: &str) -> Result<Option<i64>, SettingsError> {
-    fields.opt(field).map(|_| fields.int(field)).transpose()
+    fields
+        .get_optional(field)
+        .map(|_| fields.int(field))
+        .transpose()
 }
 
 fn max_in_flight(limits: &Fields<'_>) -> usize {
-    let limit = limits.opt("max_open").and_then(Value::as_u64);
+    let limit = limits.get_optional("max_open").and_then(Value::as_u64);
     limit.unwrap_or(u64::MAX) as usize
 }
 
@@ -417,14 +425,14 @@
     let (tenant_names, tenants) = parse_tenants(fields)?;
     let zones = parse_names(fields, "zones")?;
     let kinds = parse_names(fields, "kinds")?;
-    let limits = Fields::of(fields.get("policy_limits")?, "policy_limits")?;
-    let rules = Fields::of(fields.get("rules")?, "rules")?;
+    let limits = Fields::from_value(fields.get("policy_limits")?, "policy_limits")?;
+    let rules = Fields::from_value(fields.get("rules")?, "rules")?;
     let empty = Value::Object(Map::new());
-    let optional = |name| Fields::of(fields.opt(name).unwrap_or(&empty), name);
+    let optional = |name| Fields::from_value(fields.get_optional(name).unwrap_or(&empty), name);
     let (prices, domain) = (optional("prices")?, optional("domain")?);
     let poll = must_poll(fields)?;
     let mode = parse_cache_mode(&domain)?;
-    let zone = fields.opt("zone").and_then(Value::as_str);
+    let zone = fields.get_optional("zone").and_then(Value::as_str);
     let settings = Settings {
         classes,
         tenants,
@@ -433,7 +441,7 @@
         zone: zone
             .and_then(|name| index_of(&zones, name))
             .map(|i| i as u16),
-        poll,
+        poll_endpoint_list: poll,
         poll_within: if poll {
             rules.micros("ask_within")?
         } else {
@@ -443,7 +451,7 @@
         origin_kind: opt_int(&domain, "origin_kind")?.and_then(|kind| u16::try_from(kind).ok()),
         origin_overload_multiple: domain.number_or("origin_fall_multiple", 0.0)?,
         weights: parse_weight_meaning(fields),
-        weight_by_work: fields.opt("value_by").and_then(Value::as_str) == Some("work"),
+        weight_by_work: fields.get_optional("value_by").and_then(Value::as_str) == Some("work"),
         over_quota_weight: fields.number_or("over_share_worth", 1.0)?,
         tick: fields.micros_or("period", 1000)?,
         max_attempts: usize::try_from(limits.int("try_limit")?).unwrap_or(0),
--- a/crates/decision/src/settings_validation.rs
+++ b/crates/decision/src/settings_validation.rs
@@ -33,7 +33,7 @@
         if self.tick < 0 || self.answer_slack < 0 || self.drain_grace < 0 {
             return invalid("tick, answer_slack, drain_grace", "must not be negative");
         }
-        if self.poll && self.poll_within <= 0 {
+        if self.poll_endpoint_list && self.poll_within <= 0 {
             return invalid(
                 "ask_within",
                 "must be above zero if the endpoint list is polled",
--- a/crates/decision/src/slow_start.rs
+++ b/crates/decision/src/slow_start.rs
@@ -271,7 +271,7 @@
     /// that a warming server is given, and this node may send that server one more attempt. If the quota of
     /// this node is below one, the distance does not count: the slots decide which nodes may send, and all
     /// nodes agree on them, whatever the key.
-    pub(crate) fn is_within_slow_start(
+    pub(crate) fn is_within_slow_start_quota(
         &self,
         now: Micros,
         index: usize,
--- a/crates/decision/src/test_support.rs
+++ b/crates/decision/src/test_support.rs
@@ -12,7 +12,7 @@
 mod shared_settings;
 
 /// The latency estimate of a kind of machine.
-pub(crate) fn kind(log_sum: f64, samples: f64) -> KindEstimate {
+pub(crate) fn kind_estimate(log_sum: f64, samples: f64) -> KindEstimate {
     KindEstimate { log_sum, samples }
 }
 
@@ -25,7 +25,7 @@
             ..shared_settings::class()
         }],
         nodes: 4,
-        poll: false,
+        poll_endpoint_list: false,
         poll_within: 0,
         over_quota_weight: 0.1,
         tick: 2_000,
@@ -42,7 +42,7 @@
 }
 
 /// The entry of a live server of zone 0 and kind 0.
-pub(crate) fn entry(name: &str) -> Endpoint {
+pub(crate) fn live_endpoint(name: &str) -> Endpoint {
     Endpoint {
         server: name.into(),
         weight: 1.0,
@@ -60,7 +60,7 @@
     let list = (0..servers)
         .map(|i| Endpoint {
             zone: Some(i % 2),
-            ..entry(&format!("s{i}"))
+            ..live_endpoint(&format!("s{i}"))
         })
         .collect();
     node.handle(
@@ -81,7 +81,7 @@
         budget: 600_000,
         work: None,
         size: None,
-        retry: false,
+        is_client_retry: false,
         write: false,
     };
     let mut actions = Vec::new();
@@ -112,7 +112,7 @@
             1_000
         },
         status,
-        closed: status == Status::Ok,
+        is_final: status == Status::Ok,
         cache_result: None,
         load: None,
     });
--- a/crates/decision/src/zone_health_tests.rs
+++ b/crates/decision/src/zone_health_tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::api::{Endpoint, EndpointListKind, Event};
-use crate::test_support::{entry, node, send_request};
+use crate::test_support::{live_endpoint, node, send_request};
 
 fn server_id(n: usize) -> ServerId {
     format!("s{n}").into()
@@ -298,7 +298,7 @@
         node.settings.probes = probes;
         let zoned = |i| Endpoint {
             zone,
-            ..entry(&format!("s{i}"))
+            ..live_endpoint(&format!("s{i}"))
         };
         let list = Event::EndpointList(EndpointListKind::Full, (0..40).map(zoned).collect());
         node.handle(0, list, &mut Vec::new());
--- a/crates/decision/tests/outlier_detection.rs
+++ b/crates/decision/tests/outlier_detection.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use sloewick_decision::api::*;
-use sloewick_decision::outlier_detection::{rendezvous, OutlierDetector, RequestKind};
+use sloewick_decision::outlier_detection::{rendezvous_score, OutlierDetector, RequestKind};
 use support::Fleet;
 
 const SERVERS: usize = 12;
@@ -451,7 +451,7 @@
         hasher.finish()
     };
     let home = |key: u64, weights: &[f64]| {
-        let score = |s: &usize| rendezvous(key_server_hash(key, *s as u64), weights[*s]);
+        let score = |s: &usize| rendezvous_score(key_server_hash(key, *s as u64), weights[*s]);
         (0..weights.len())
             .max_by(|a, b| score(a).total_cmp(&score(b)))
             .unwrap()
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -44,7 +44,7 @@
             quota_per_s: 20.0,
             share: 1.0,
         }],
-        poll,
+        poll_endpoint_list: poll,
         mode,
         origin_kind: (mode == CacheMode::CacheAside).then_some(1),
         over_quota_weight: 0.1,
@@ -189,7 +189,7 @@
             budget,
             work: None,
             size: None,
-            retry: false,
+            is_client_retry: false,
             write: key.is_multiple_of(3),
         }));
     }
@@ -223,7 +223,7 @@
             attempt,
             latency: 5_000,
             status,
-            closed,
+            is_final: closed,
             cache_result: None,
             load: None,
         }));
@@ -558,7 +558,8 @@
         .run(
             &(arbitrary_settings(), any::<u64>(), ops),
             |(value, seed, ops)| {
-                let fields = sloewick_decision::settings::Fields::of(&value, "settings").unwrap();
+                let fields =
+                    sloewick_decision::settings::Fields::from_value(&value, "settings").unwrap();
                 let (settings, _) = sloewick_decision::settings::parse(&fields).unwrap();
                 settings.validate().unwrap();
                 Node::new(settings, seed).run(&ops);
@@ -648,7 +649,7 @@
             budget: 600_000,
             work: None,
             size: None,
-            retry: false,
+            is_client_retry: false,
             write: false,
         };
         node.balancer
--- a/crates/decision/tests/slow_start.rs
+++ b/crates/decision/tests/slow_start.rs
@@ -18,7 +18,7 @@
 fn settings() -> Settings {
     Settings {
         nodes: NODES as usize,
-        poll: false,
+        poll_endpoint_list: false,
         ..support::settings()
     }
 }
@@ -64,7 +64,7 @@
         budget: 400_000,
         work: None,
         size: None,
-        retry: false,
+        is_client_retry: false,
         write: false,
     });
     let mut actions = Vec::new();
@@ -79,7 +79,7 @@
         attempt: 0,
         latency: 20_000,
         status: Status::Ok,
-        closed: true,
+        is_final: true,
         cache_result: None,
         load: None,
     });
--- a/crates/decision/tests/stable_numbers.rs
+++ b/crates/decision/tests/stable_numbers.rs
@@ -7,7 +7,7 @@
 
 use sloewick_decision::api::Status;
 use sloewick_decision::hash::{hash, mix, unit_interval};
-use sloewick_decision::outlier_detection::rendezvous;
+use sloewick_decision::outlier_detection::rendezvous_score;
 use sloewick_decision::rng::Rng;
 
 #[test]
@@ -87,7 +87,7 @@
         (hash("k2"), 0.0, 7.821_871_127_559_768e-10),
     ] {
         assert_eq!(
-            rendezvous(key_server_hash, weight),
+            rendezvous_score(key_server_hash, weight),
             expected,
             "{key_server_hash} {weight}"
         );
@@ -159,7 +159,7 @@
         u64::MAX,
     ];
     for weight in [0.0, 0.5, 1.0, 40.0] {
-        let scores = hashes.map(|hash| rendezvous(hash, weight));
+        let scores = hashes.map(|hash| rendezvous_score(hash, weight));
         assert!(
             scores.iter().all(|score| score.is_finite() && *score > 0.0),
             "{scores:?}"
--- a/crates/decision/tests/support/mod.rs
+++ b/crates/decision/tests/support/mod.rs
@@ -216,7 +216,7 @@
             budget: 400_000,
             work: None,
             size: None,
-            retry: false,
+            is_client_retry: false,
             write: false,
         };
         self.handle(Event::Request(request), answer);
@@ -244,7 +244,7 @@
                         attempt,
                         latency,
                         status,
-                        closed,
+                        is_final: closed,
                         cache_result: None,
                         load: None,
                     }),
--- a/crates/decision/tests/support/settings.rs
+++ b/crates/decision/tests/support/settings.rs
@@ -29,7 +29,7 @@
         nodes: 2,
         node_number: None,
         zone: Some(0),
-        poll: true,
+        poll_endpoint_list: true,
         poll_within: 10_000_000,
         mode: CacheMode::ReadThrough,
         origin_kind: None,
--- a/crates/decision/tests/tenant_quota.rs
+++ b/crates/decision/tests/tenant_quota.rs
@@ -54,7 +54,7 @@
             budget: class.deadline,
             work: None,
             size: None,
-            retry: false,
+            is_client_retry: false,
             write: false,
         };
         let mut actions = Vec::new();
@@ -74,7 +74,7 @@
                         attempt: 0,
                         latency,
                         status: Status::Ok,
-                        closed: true,
+                        is_final: true,
                         cache_result: Some(cache_result),
                         load: None,
                     });
--- a/crates/fleet_model/examples/cold_servers.rs
+++ b/crates/fleet_model/examples/cold_servers.rs
@@ -163,7 +163,7 @@
             attempt: 0,
             latency: LATENCY,
             status: Status::Ok,
-            closed: true,
+            is_final: true,
             cache_result: None,
             load: None,
         });
@@ -183,7 +183,7 @@
             budget: REQUEST_BUDGET,
             work: None,
             size: None,
-            retry: false,
+            is_client_retry: false,
             write: false,
         };
         let mut actions = Vec::new();
--- a/crates/fleet_model/src/model/requests.rs
+++ b/crates/fleet_model/src/model/requests.rs
@@ -45,7 +45,7 @@
             budget: limits.deadline,
             work: None,
             size: None,
-            retry: !first_try,
+            is_client_retry: !first_try,
             write,
         };
         self.notify_node(node, Event::Request(request));
@@ -183,7 +183,7 @@
             attempt: number,
             latency,
             status,
-            closed,
+            is_final: closed,
             cache_result,
             load: None,
         });
--- a/crates/fleet_model/src/site.rs
+++ b/crates/fleet_model/src/site.rs
@@ -177,7 +177,7 @@
             nodes: self.nodes,
             node_number: None,
             zone: None,
-            poll: false,
+            poll_endpoint_list: false,
             poll_within: 0,
             mode: CacheMode::ReadThrough,
             origin_kind: None,
--- a/crates/memcached/src/config_tests.rs
+++ b/crates/memcached/src/config_tests.rs
@@ -5,7 +5,7 @@
 fn parse_config(text: &str) -> Result<MemcachedConfig, Vec<String>> {
     let node_config = include_str!("../../../examples/node.json");
     let json: serde_json::Value = serde_json::from_str(node_config).unwrap();
-    let object = Fields::of(&json["settings"], "settings").unwrap();
+    let object = Fields::from_value(&json["settings"], "settings").unwrap();
     let (settings, names) = settings::parse(&object).unwrap();
     parse(text, &names, &settings.classes, 64 << 20)
         .map_err(|list| list.iter().map(ToString::to_string).collect())
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -106,24 +106,27 @@
 /// spread any number of nodes evenly. Without a number the phase is random: it follows from the seed.
 fn parse_phase(settings: &Fields<'_>, seed: u64) -> Result<f64, SettingsError> {
     const GOLDEN_RATIO: f64 = 0.618_033_988_749_894_9;
-    let number = settings.opt("me").map(|_| settings.int("me")).transpose()?;
+    let number = settings
+        .get_optional("me")
+        .map(|_| settings.int("me"))
+        .transpose()?;
     Ok((number.map_or((seed >> 40) as f64, |n| n as f64) * GOLDEN_RATIO).rem_euclid(1.0))
 }
 
 fn parse_server_idle(settings: &Fields<'_>) -> Result<i64, SettingsError> {
-    match settings.opt("policy_limits") {
+    match settings.get_optional("policy_limits") {
         Some(limits) => {
-            Fields::of(limits, "policy_limits")?.micros_or("conn_idle", DEFAULT_SERVER_IDLE)
+            Fields::from_value(limits, "policy_limits")?.micros_or("conn_idle", DEFAULT_SERVER_IDLE)
         }
         None => Ok(DEFAULT_SERVER_IDLE),
     }
 }
 
 fn parse_probe_load(settings: &Fields<'_>) -> Result<bool, SettingsError> {
-    let Some(report) = settings.opt("load_report") else {
+    let Some(report) = settings.get_optional("load_report") else {
         return Ok(false);
     };
-    let how = Fields::of(report, "load_report")?.opt("how");
+    let how = Fields::from_value(report, "load_report")?.get_optional("how");
     Ok(how.is_some_and(|how| how != "silent"))
 }
 
@@ -134,16 +137,16 @@
 pub fn parse(text: &str) -> Result<Config, SettingsError> {
     let value: Value = serde_json::from_str(text)
         .map_err(|e| SettingsError::new("BALANCER_CONFIG", format!("is not JSON: {e}")))?;
-    let fields = Fields::of(&value, "BALANCER_CONFIG")?;
+    let fields = Fields::from_value(&value, "BALANCER_CONFIG")?;
     let address = |name: &str| parse_address(name, fields.text(name)?);
     let seed = u64::from_str_radix(fields.text("seed")?, 16)
         .map_err(|_| SettingsError::new("seed", "is not 64 bits in hex"))?;
-    let limits = Fields::of(fields.get("limits")?, "limits")?;
+    let limits = Fields::from_value(fields.get("limits")?, "limits")?;
     let at_least = |name: &str, min: i64| match limits.int(name)? {
         n if n >= min => Ok(n as usize),
         n => Err(SettingsError::new(name, format!("{n} is below {min}"))),
     };
-    let settings_fields = Fields::of(fields.get("settings")?, "settings")?;
+    let settings_fields = Fields::from_value(fields.get("settings")?, "settings")?;
     let (settings, names) = settings::parse(&settings_fields)?;
     settings
         .validate()
@@ -153,7 +156,10 @@
     Ok(Config {
         listen: address("listen")?,
         discovery: address("discovery")?,
-        ops: fields.opt("ops").map(|_| address("ops")).transpose()?,
+        ops: fields
+            .get_optional("ops")
+            .map(|_| address("ops"))
+            .transpose()?,
         accept_fd: None,
         trace: false,
         seed,
--- a/crates/node/src/discovery/endpoints.rs
+++ b/crates/node/src/discovery/endpoints.rs
@@ -31,7 +31,7 @@
 /// # Errors
 /// Returns an error for the first field that is missing or has an invalid value.
 pub fn parse_endpoint_list(value: &Value) -> Result<EndpointList, SettingsError> {
-    let fields = Fields::of(value, "known")?;
+    let fields = Fields::from_value(value, "known")?;
     let targets = fields
         .array("targets")?
         .iter()
@@ -45,10 +45,10 @@
 }
 
 fn parse_endpoint(value: &Value) -> Result<ListedEndpoint, SettingsError> {
-    let fields = Fields::of(value, "targets")?;
+    let fields = Fields::from_value(value, "targets")?;
     let optional_text = |name| {
         fields
-            .opt(name)
+            .get_optional(name)
             .map(|_| fields.text(name).map(str::to_string))
             .transpose()
     };
@@ -62,7 +62,7 @@
         )
     })?;
     let cell = fields
-        .opt("pod_group")
+        .get_optional("pod_group")
         .map(|_| fields.int("pod_group"))
         .transpose()?;
     let entry = RawEndpoint {
@@ -78,7 +78,7 @@
         entry,
         address,
         boot_ms: fields
-            .opt("boot_ms")
+            .get_optional("boot_ms")
             .map_or(Ok(0), |_| fields.int("boot_ms"))?,
     })
 }
--- a/crates/node/src/event_loop/attempts.rs
+++ b/crates/node/src/event_loop/attempts.rs
@@ -167,7 +167,7 @@
             attempt,
             latency,
             status: result.status,
-            closed: request.closed,
+            is_final: request.closed,
             cache_result: result.cache_result,
             load: result.load,
         }));
--- a/crates/node/src/event_loop/endpoint_list.rs
+++ b/crates/node/src/event_loop/endpoint_list.rs
@@ -60,7 +60,7 @@
         let mut entries = Vec::with_capacity(list.targets.len());
         for listed in &list.targets {
             self.update_pool(listed);
-            let mut entry = self.engine.names.entry(&listed.entry);
+            let mut entry = self.engine.names.endpoint(&listed.entry);
             entry.started = self.discovery.starts.start_of(listed, now);
             entries.push(entry);
         }
--- a/crates/node/src/event_loop/memcached_requests.rs
+++ b/crates/node/src/event_loop/memcached_requests.rs
@@ -102,7 +102,7 @@
             id: frontend.request_id(self.serials.next(), opaque).into(),
             class: routed.class,
             tenant: routed.tenant,
-            retry: routed.is_retry(),
+            is_client_retry: routed.is_retry(),
             key: Some(routed.key),
             budget: routed.deadline,
             work: None,
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -121,7 +121,7 @@
 /// Creates the client of discovery. If the settings do not require polling, discovery is an agent beside the node, to which
 /// the lists are pushed.
 fn discovery_client<S: Stream>(config: &Config) -> DiscoveryClient<S> {
-    let polls = config.settings.poll;
+    let polls = config.settings.poll_endpoint_list;
     let schedule = PollSchedule::new(polls, config.settings.drain_grace, config.phase);
     let revision = config.known.rev;
     DiscoveryClient::new(config.discovery, DISCOVERY, revision, schedule)
--- a/crates/node/src/event_trace_tests.rs
+++ b/crates/node/src/event_trace_tests.rs
@@ -36,7 +36,7 @@
             attempt: 2,
             latency: 512,
             status: Status::Ok,
-            closed: true,
+            is_final: true,
             cache_result,
             load: None,
         })
--- a/crates/node/src/frontend/resp2.rs
+++ b/crates/node/src/frontend/resp2.rs
@@ -97,7 +97,7 @@
         budget: 0,
         work: None,
         size: None,
-        retry: false,
+        is_client_retry: false,
         write,
     };
     for (name, value) in fields.split(',').filter_map(|field| field.split_once('=')) {
@@ -110,7 +110,7 @@
             }
             "h" => request.work = parse_number(value),
             "size" => request.size = parse_number(value),
-            "r" => request.retry = value == "1",
+            "r" => request.is_client_retry = value == "1",
             _ => {}
         }
     }
--- a/crates/node/src/frontend/resp2_tests.rs
+++ b/crates/node/src/frontend/resp2_tests.rs
@@ -56,7 +56,7 @@
     assert_eq!((&*request.id, request.key.as_deref()), ("r1", Some("k")));
     assert_eq!((request.class, request.tenant), (0, Some(0)));
     assert_eq!((request.budget, request.size), (20_500, Some(7.0)));
-    assert!(request.write && request.retry);
+    assert!(request.write && request.is_client_retry);
 }
 
 #[test]
--- a/crates/overload/src/detector.rs
+++ b/crates/overload/src/detector.rs
@@ -86,9 +86,9 @@
     /// Answered in time by the origin.
     ServedByOrigin,
     /// Answered in time, either from the server's cache or by the origin.
-    ServedBySomeone,
+    ServedByUnknownSource,
     /// Not answered in time, or rejected by a server that had too many requests in flight.
-    Late,
+    NotServedInTime,
 }
 
 /// A moving average of the fraction of outcomes that match a condition. The first outcomes have a larger
@@ -156,10 +156,10 @@
                 -(1.0 - missing(&self.fetched).min(MAX_MISSING_FRACTION)).ln()
             }
             Outcome::ServedByOrigin => -FETCHES_PER_ANSWERED.ln(),
-            Outcome::ServedBySomeone => UNKNOWN_SOURCE_EVIDENCE,
+            Outcome::ServedByUnknownSource => UNKNOWN_SOURCE_EVIDENCE,
             // Evidence only to the extent that such requests need the origin: if caches hold every key, the
             // servers are the reason for late outcomes.
-            Outcome::Late => {
+            Outcome::NotServedInTime => {
                 let late = self
                     .late
                     .fraction
@@ -177,7 +177,8 @@
             self.fetched.record(fetched, overloaded);
             self.fetched_from_assumption.record(fetched, overloaded);
         }
-        self.late.record(outcome == Outcome::Late, overloaded);
+        self.late
+            .record(outcome == Outcome::NotServedInTime, overloaded);
     }
 }
 
--- a/crates/overload/src/detector_tests.rs
+++ b/crates/overload/src/detector_tests.rs
@@ -26,10 +26,10 @@
 const CACHED_HIT: Event = (RequestKind::LikelyCached, Outcome::ServedFromCache);
 const UNCACHED_HIT: Event = (RequestKind::LikelyUncached, Outcome::ServedFromCache);
 const FETCHED: Event = (RequestKind::LikelyUncached, Outcome::ServedByOrigin);
-const UNCACHED_LATE: Event = (RequestKind::LikelyUncached, Outcome::Late);
-const CACHED_LATE: Event = (RequestKind::LikelyCached, Outcome::Late);
+const UNCACHED_LATE: Event = (RequestKind::LikelyUncached, Outcome::NotServedInTime);
+const CACHED_LATE: Event = (RequestKind::LikelyCached, Outcome::NotServedInTime);
 const WRITE_SERVED: Event = (RequestKind::Write, Outcome::ServedByOrigin);
-const WRITE_LATE: Event = (RequestKind::Write, Outcome::Late);
+const WRITE_LATE: Event = (RequestKind::Write, Outcome::NotServedInTime);
 const NORMAL_OPERATION: [Event; 10] = [
     CACHED_HIT,
     UNCACHED_HIT,
@@ -188,14 +188,14 @@
 fn overload_begins_after_four_to_six_failed_writes_and_ends_after_two_answered_fetches() {
     let mut detector = OverloadDetector::new(0);
     let failures_until_begin = (1..100).find(|n| {
-        detector.record(*n, RequestKind::Write, Outcome::Late);
+        detector.record(*n, RequestKind::Write, Outcome::NotServedInTime);
         detector.is_overloaded(*n)
     });
     assert!(
         failures_until_begin.is_some_and(|n| (4..=6).contains(&n)),
         "{failures_until_begin:?}"
     );
-    (100..300).for_each(|n| detector.record(n, RequestKind::Write, Outcome::Late));
+    (100..300).for_each(|n| detector.record(n, RequestKind::Write, Outcome::NotServedInTime));
     let fetches_until_end = (1..10).find(|n| {
         detector.record(
             300 + n,
@@ -210,16 +210,16 @@
 #[test]
 fn two_failures_do_not_begin_an_overload_and_an_overload_without_outcomes_expires() {
     let mut detector = OverloadDetector::new(0);
-    (0..2).for_each(|n| detector.record(n, RequestKind::Write, Outcome::Late));
+    (0..2).for_each(|n| detector.record(n, RequestKind::Write, Outcome::NotServedInTime));
     assert!(!detector.is_overloaded(2));
-    (2..9).for_each(|n| detector.record(n, RequestKind::Write, Outcome::Late));
+    (2..9).for_each(|n| detector.record(n, RequestKind::Write, Outcome::NotServedInTime));
     assert!(detector.is_overloaded(9));
     // Guards against a process that was suspended and resumes with an outdated overload.
     assert!(!detector.is_overloaded(9 + 3 * DECAY_TIME));
     detector.record(
         9 + 3 * DECAY_TIME,
         RequestKind::LikelyUncached,
-        Outcome::Late,
+        Outcome::NotServedInTime,
     );
     assert!(!detector.is_overloaded(9 + 3 * DECAY_TIME));
 }
@@ -228,7 +228,7 @@
     #[test]
     fn two_answered_fetches_end_any_overload(outcomes in proptest::collection::vec((0..3usize, 0..4usize, 0..3_000_000i64), 0..400)) {
         let all_kinds = [RequestKind::LikelyCached, RequestKind::LikelyUncached, RequestKind::Write];
-        let all_outcomes = [Outcome::ServedFromCache, Outcome::ServedByOrigin, Outcome::ServedBySomeone, Outcome::Late];
+        let all_outcomes = [Outcome::ServedFromCache, Outcome::ServedByOrigin, Outcome::ServedByUnknownSource, Outcome::NotServedInTime];
         let (mut detector, mut now) = (OverloadDetector::new(0), 0);
         for (kind, outcome, after) in outcomes {
             now += after;
--- a/crates/simulator_adapter/src/main.rs
+++ b/crates/simulator_adapter/src/main.rs
@@ -53,13 +53,13 @@
     fn handle_batch(&mut self, line: &str, out: &mut String) -> Result<(), SettingsError> {
         let value: Value = serde_json::from_str(line)
             .map_err(|e| SettingsError::new("line", format!("is not JSON: {e}")))?;
-        let fields = Fields::of(&value, "line")?;
+        let fields = Fields::from_value(&value, "line")?;
         let now = fields.micros("ts")?;
         let items = fields.array("items")?;
         let mut reply = Reply::begin(out);
         for (index, item) in items.iter().enumerate() {
             self.handle_item(now, item, &mut reply)
-                .map_err(|error| error.at(index))?;
+                .map_err(|error| error.at_item(index))?;
         }
         reply.end();
         Ok(())
@@ -72,7 +72,7 @@
         item: &Value,
         reply: &mut Reply<'_>,
     ) -> Result<(), SettingsError> {
-        let fields = Fields::of(item, "items")?;
+        let fields = Fields::from_value(item, "items")?;
         let kind = fields.text("t")?;
         if kind == "REGISTER" {
             return self.register_endpoint_list(&fields);
@@ -123,8 +123,8 @@
         node: i64,
         fields: &Fields<'_>,
     ) -> Result<(), SettingsError> {
-        let seed = fields.seed("random_seed")?;
-        let options = Fields::of(fields.get("options")?, "options")?;
+        let seed = fields.u64_bits("random_seed")?;
+        let options = Fields::from_value(fields.get("options")?, "options")?;
         let (settings, names) = settings::parse(&options)?;
         let balancer = Balancer::new(settings, seed, now)
             .map_err(|e| SettingsError::new("options", format!("cannot be used: {e}")))?;
@@ -151,7 +151,7 @@
         let reason = format!("no endpoint list is registered with id {id}");
         return Err(SettingsError::new("roster_id", reason));
     };
-    let endpoints = endpoints.iter().map(|raw| names.entry(raw)).collect();
+    let endpoints = endpoints.iter().map(|raw| names.endpoint(raw)).collect();
     Ok(Event::EndpointList(kind, endpoints))
 }
 
--- a/crates/simulator_adapter/src/messages.rs
+++ b/crates/simulator_adapter/src/messages.rs
@@ -28,10 +28,10 @@
 
 /// Reads an endpoint of a registered list. Its zone and kind are still labels; each instance replaces them by numbers.
 pub(crate) fn raw_endpoint(value: &Value) -> Result<RawEndpoint, SettingsError> {
-    let fields = Fields::of(value, "elements")?;
+    let fields = Fields::from_value(value, "elements")?;
     let optional_text = |name| {
         fields
-            .opt(name)
+            .get_optional(name)
             .map(|_| fields.text(name).map(str::to_string))
             .transpose()
     };
@@ -54,7 +54,7 @@
         state,
         started: Some(fields.micros_or("started_at", 0)?).filter(|t| *t > 0),
         cell: fields
-            .opt("block")
+            .get_optional("block")
             .map(|_| fields.int("block"))
             .transpose()?
             .map(|n| n as u32),
@@ -98,10 +98,10 @@
 
 /// Reads the server's load report, if the event has one.
 fn load_report(fields: &Fields<'_>) -> Result<Option<LoadReport>, SettingsError> {
-    let Some(value) = fields.opt("telemetry") else {
+    let Some(value) = fields.get_optional("telemetry") else {
         return Ok(None);
     };
-    let report = Fields::of(value, "telemetry")?;
+    let report = Fields::from_value(value, "telemetry")?;
     Ok(Some(LoadReport {
         in_flight: report.opt_number("active")?,
         queue: report.opt_number("waiting")?,
@@ -127,18 +127,18 @@
             .class(fields.text("tier_class")?)
             .ok_or_else(|| SettingsError::new("tier_class", "is not a class in the settings"))?,
         tenant: fields
-            .opt("owner")
+            .get_optional("owner")
             .and_then(Value::as_str)
             .and_then(|name| names.tenant(name)),
         key: fields
-            .opt("key")
+            .get_optional("key")
             .map(|_| fields.text("key"))
             .transpose()?
             .map(Arc::from),
         budget: fields.micros("time_budget")?,
         work: fields.opt_number("effort")?.map(|ms| ms * 1000.0),
         size: fields.opt_number("bytes_hint")?,
-        retry: fields.flag_or("resent", false)?,
+        is_client_retry: fields.flag_or("resent", false)?,
         write: fields.flag_or("mutates", false)?,
     })
 }
@@ -161,9 +161,9 @@
             attempt: attempt_number(fields)?,
             latency: fields.micros("spent")?,
             status: status(fields)?,
-            closed: fields.flag("last")?,
+            is_final: fields.flag("last")?,
             cache_result: match fields
-                .opt("remark")
+                .get_optional("remark")
                 .map(|_| fields.int("remark"))
                 .transpose()?
             {
@@ -188,7 +188,7 @@
             load: load_report(fields)?,
         },
         "MESSAGE" => Event::PeerMessage {
-            from: fields.seed("origin_peer")?,
+            from: fields.u64_bits("origin_peer")?,
             data: decode_hex(fields.text("payload")?)?,
         },
         other => {
--- a/crates/testbed/tests/defects.rs
+++ b/crates/testbed/tests/defects.rs
@@ -408,7 +408,7 @@
                 attempt,
                 latency,
                 status,
-                closed,
+                is_final: closed,
                 cache_result: note,
                 load,
             }) => {
@@ -420,7 +420,7 @@
                     attempt,
                     latency,
                     status,
-                    closed,
+                    is_final: closed,
                     cache_result: note,
                     load,
                 })]
