--- a/crates/node/src/admin/handlers.rs
+++ b/crates/node/src/admin/handlers.rs
@@ -29,7 +29,7 @@
         let decision = &self.engine.decision;
         let servers = || self.upstreams.servers();
         Gauges {
-            sends: self.upstreams.sends,
+            sends: self.upstreams.attempts_written,
             current: self.unfinished_responses,
             cluster_size: servers().count(),
             cluster_unhealthy: servers()
@@ -53,7 +53,7 @@
 
 impl<N: Transport> Admin<N> {
     /// Performs an admin request and returns its response.
-    pub(crate) fn answer<M: DecisionEngine>(
+    pub(crate) fn handle<M: DecisionEngine>(
         &self,
         request: AdminRequest,
         now: Micros,
@@ -64,7 +64,7 @@
         match request {
             AdminRequest::Ready if lifecycle.is_ready(now) => AdminResponse::new(200, "ready\n"),
             AdminRequest::Ready => AdminResponse::new(503, "not ready\n"),
-            AdminRequest::Telemetry => {
+            AdminRequest::Metrics => {
                 let names = &sources.engine.names;
                 let gauges = sources.read(now);
                 let class_name = |class| names.class_name(class);
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -27,7 +27,7 @@
     /// Query whether the process is ready to serve.
     Ready,
     /// Query the metrics.
-    Telemetry,
+    Metrics,
     /// Start an evacuation: the connections of all clients are closed.
     Evacuate,
     /// End an evacuation.
@@ -50,7 +50,7 @@
     Route {
         method: "GET",
         path: "/api/telemetry",
-        request: AdminRequest::Telemetry,
+        request: AdminRequest::Metrics,
     },
     Route {
         method: "POST",
@@ -96,7 +96,7 @@
 pub(crate) struct AdminServer<N: Transport> {
     listener: N::Listener,
     /// Whether connections may be waiting to be accepted.
-    has_waiting: bool,
+    has_pending_connections: bool,
     clients: Slab<AdminClient<N::Stream>>,
     /// Returns the token of the client with a given key.
     token_of: fn(usize) -> Token,
@@ -106,7 +106,7 @@
     pub(crate) fn new(listener: N::Listener, token_of: fn(usize) -> Token) -> AdminServer<N> {
         AdminServer {
             listener,
-            has_waiting: true,
+            has_pending_connections: true,
             clients: Slab::new(),
             token_of,
         }
@@ -114,13 +114,13 @@
 
     /// Handles an event on the listener.
     pub(crate) fn listener_ready(&mut self) {
-        self.has_waiting = true;
+        self.has_pending_connections = true;
     }
 
     /// Accepts the connections that are waiting, at most [`MAX_ADMIN_CLIENTS`] per call.
     pub(crate) fn accept(&mut self, net: &mut N, now: Micros) {
         let mut accepted = 0;
-        while self.has_waiting && accepted < MAX_ADMIN_CLIENTS {
+        while self.has_pending_connections && accepted < MAX_ADMIN_CLIENTS {
             accepted += 1;
             if self.clients.len() >= MAX_ADMIN_CLIENTS && !self.drop_oldest() {
                 return;
@@ -137,7 +137,9 @@
                         is_write_shut_down: false,
                     });
                 }
-                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => self.has_waiting = false,
+                Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => {
+                    self.has_pending_connections = false;
+                }
                 // No descriptor is free, or the client has disconnected: the next round retries.
                 Err(_) => return,
             }
@@ -153,7 +155,7 @@
     }
 
     /// Handles an event on a client's connection. Calls `answer` once the request is complete.
-    pub(crate) fn ready(
+    pub(crate) fn client_ready(
         &mut self,
         key: usize,
         event: &ReadyEvent,
--- a/crates/node/src/config.rs
+++ b/crates/node/src/config.rs
@@ -17,28 +17,28 @@
     /// Address of discovery.
     pub discovery: SocketAddr,
     /// Address of the admin listener; None: there is no admin interface.
-    pub ops: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// Descriptor of the clients' listening socket that the process inherits from the platform; None: the node opens the
     /// socket itself. Not a field of the configuration, since it belongs to the process: `BALANCER_ACCEPT_FD` sets it.
-    pub accept_fd: Option<i32>,
+    pub inherited_listener_fd: Option<i32>,
     /// Seed of all random decisions.
     pub seed: u64,
     /// Memory limit of the process in bytes.
-    pub memory: usize,
+    pub memory_bytes: usize,
     /// Limit on the process's file descriptors.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The last known endpoint list, which is used until discovery sends one.
-    pub known: EndpointList,
+    pub initial_endpoints: EndpointList,
     /// Settings of the decision module.
     pub settings: Settings,
     /// Names of the classes, tenants and zones in the settings.
     pub names: Names,
     /// Time after which servers close idle connections, in microseconds.
-    pub server_idle: i64,
+    pub server_idle_timeout: i64,
     /// This node's position, from 0 to 1, in schedules that spread the nodes over time by their numbers.
     pub phase: f64,
     /// Whether probes request a load report; otherwise they only check that the server responds.
-    pub probe_load: bool,
+    pub probes_request_load: bool,
     /// Configuration of the memcached frontend and cache servers; None: they are disabled.
     pub memcached: Option<MemcachedConfig>,
     /// Whether the event trace is written to the log. Not a field of the configuration: an option of the command line sets it.
@@ -49,14 +49,14 @@
 const MIN_SOCKETS: i64 = 64;
 /// Minimum memory in MB, which suffices for long values one at a time.
 const MIN_MEMORY_MB: i64 = 32;
-/// [`Config::server_idle`] in microseconds if the settings contain no `conn_idle`.
+/// [`Config::server_idle_timeout`] in microseconds if the settings contain no `conn_idle`.
 const DEFAULT_SERVER_IDLE: i64 = 10_000_000;
 
 /// Reads a configuration from a file.
 ///
 /// # Errors
 /// The file cannot be read, or a field is missing, of the wrong type or out of range; the first such field is named.
-pub fn read(path: &str) -> Result<Config, SettingsError> {
+pub fn read_file(path: &str) -> Result<Config, SettingsError> {
     let text = std::fs::read_to_string(path)
         .map_err(|e| SettingsError::new("BALANCER_CONFIG", format!("{path}: {e}")))?;
     parse(&text)
@@ -66,9 +66,13 @@
 ///
 /// # Errors
 /// All problems in the text.
-pub fn memcached(config: &mut Config, text: &str) -> Result<(), Vec<Problem>> {
-    let memcached =
-        memcached_config::parse(text, &config.names, &config.settings.classes, config.memory)?;
+pub fn enable_memcached(config: &mut Config, text: &str) -> Result<(), Vec<Problem>> {
+    let memcached = memcached_config::parse(
+        text,
+        &config.names,
+        &config.settings.classes,
+        config.memory_bytes,
+    )?;
     config.memcached = Some(memcached);
     Ok(())
 }
@@ -81,8 +85,8 @@
     config: &mut Config,
     var: impl Fn(&str) -> Option<String>,
 ) -> Result<(), SettingsError> {
-    if let (None, Some(text)) = (config.ops, var("BALANCER_OPS")) {
-        config.ops = Some(parse_address("BALANCER_OPS", &text)?);
+    if let (None, Some(text)) = (config.admin_address, var("BALANCER_OPS")) {
+        config.admin_address = Some(parse_address("BALANCER_OPS", &text)?);
     }
     if let Some(text) = var("BALANCER_ACCEPT_FD") {
         let fd = text.parse().ok().filter(|fd| *fd > 2);
@@ -92,7 +96,7 @@
                 format!("{text:?} is no descriptor above 2"),
             )
         };
-        config.accept_fd = Some(fd.ok_or_else(invalid_descriptor)?);
+        config.inherited_listener_fd = Some(fd.ok_or_else(invalid_descriptor)?);
     }
     Ok(())
 }
@@ -156,21 +160,21 @@
     Ok(Config {
         listen: address("listen")?,
         discovery: address("discovery")?,
-        ops: fields
+        admin_address: fields
             .get_optional("ops")
             .map(|_| address("ops"))
             .transpose()?,
-        accept_fd: None,
+        inherited_listener_fd: None,
         trace: false,
         seed,
-        memory: at_least("memory_mb", MIN_MEMORY_MB)? << 20,
-        sockets: at_least("sockets", MIN_SOCKETS)?,
-        known: parse_endpoint_list(fields.get("known")?)?,
+        memory_bytes: at_least("memory_mb", MIN_MEMORY_MB)? << 20,
+        max_descriptors: at_least("sockets", MIN_SOCKETS)?,
+        initial_endpoints: parse_endpoint_list(fields.get("known")?)?,
         settings,
         names,
-        server_idle,
+        server_idle_timeout: server_idle,
         phase: parse_phase(&settings_fields, seed)?,
-        probe_load,
+        probes_request_load: probe_load,
         memcached: None,
     })
 }
--- a/crates/node/src/config_check.rs
+++ b/crates/node/src/config_check.rs
@@ -22,20 +22,20 @@
     /// The field's value as JSON, possibly truncated; `missing` if there is none.
     pub value: String,
     /// What is wrong with the value.
-    pub why: String,
+    pub reason: String,
     /// An example of a valid value.
     pub example: String,
     /// Whether the configuration cannot be used because of this; false for a note.
-    pub fatal: bool,
+    pub is_fatal: bool,
 }
 
 impl fmt::Display for Finding {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let kind = if self.fatal { "problem" } else { "note" };
+        let kind = if self.is_fatal { "problem" } else { "note" };
         write!(
             f,
             "{kind}: {}: {}: {}; for example {}",
-            self.field, self.value, self.why, self.example
+            self.field, self.value, self.reason, self.example
         )
     }
 }
@@ -105,9 +105,9 @@
         self.findings.push(Finding {
             field: field.to_string(),
             value: value.map_or("missing".to_string(), quote),
-            why: why.into(),
+            reason: why.into(),
             example: example.into(),
-            fatal,
+            is_fatal: fatal,
         });
     }
 
@@ -267,7 +267,7 @@
 
     /// Parses the configuration as the node does and reports its error, unless a problem was found before.
     fn check_by_parsing(&mut self, text: &str) {
-        if self.findings.iter().any(|finding| finding.fatal) {
+        if self.findings.iter().any(|finding| finding.is_fatal) {
             return;
         }
         if let Err(error) = config::parse(text) {
--- a/crates/node/src/descriptors.rs
+++ b/crates/node/src/descriptors.rs
@@ -30,7 +30,7 @@
 
 impl DescriptorShares {
     /// Divides `descriptors`, the limit on the descriptors of the process.
-    pub(crate) fn of(descriptors: usize, has_admin_listener: bool) -> DescriptorShares {
+    pub(crate) fn divide(descriptors: usize, has_admin_listener: bool) -> DescriptorShares {
         let admin = if has_admin_listener {
             ADMIN_DESCRIPTORS
         } else {
--- a/crates/node/src/discovery.rs
+++ b/crates/node/src/discovery.rs
@@ -8,11 +8,11 @@
 
 use crate::address_table::AddressTable;
 use client::DiscoveryClient;
-use server_starts::ServerStarts;
+use server_starts::ServerStartTimes;
 
 /// The discovery client, and the addresses and start times of the servers in the endpoint list.
 pub(crate) struct Discovery<S> {
     pub(crate) client: DiscoveryClient<S>,
     pub(crate) addresses: AddressTable,
-    pub(crate) starts: ServerStarts,
+    pub(crate) start_times: ServerStartTimes,
 }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -94,7 +94,7 @@
     }
 
     /// Starts or ends the watch, as the decision module requests. A pushed list is always watched.
-    pub(crate) fn subscribe(&mut self, on: bool) {
+    pub(crate) fn set_watching(&mut self, on: bool) {
         self.watching = on || self.schedule.is_pushed;
         if !self.watching {
             self.cancel_watch();
@@ -102,7 +102,7 @@
     }
 
     /// Requests the full list once. A watch request in flight is cancelled, and the watch continues afterwards.
-    pub(crate) fn fetch(&mut self) {
+    pub(crate) fn request_full_list(&mut self) {
         self.needs_full_list = true;
         self.cancel_watch();
     }
--- a/crates/node/src/discovery/client_tests.rs
+++ b/crates/node/src/discovery/client_tests.rs
@@ -132,7 +132,7 @@
 fn steady_watch(net: &mut FakeTransport, timers: &mut Timers) -> DiscoveryClient<FakeStream> {
     let schedule = PollSchedule::new(true, 2 * SECOND, 0.5);
     let mut discovery = DiscoveryClient::new(host(1), DISCOVERY_TOKEN, 41, schedule);
-    discovery.subscribe(true);
+    discovery.set_watching(true);
     discovery.stage = WatchStage::Steady;
     discovery.start_request(net, timers);
     discovery
--- a/crates/node/src/discovery/fleet_tests.rs
+++ b/crates/node/src/discovery/fleet_tests.rs
@@ -149,7 +149,7 @@
     }
     let seed = 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(number as u64 + 1);
     let mut client = DiscoveryClient::new(config.discovery, 7, 41, schedule);
-    client.subscribe(fleet.polls_at_start);
+    client.set_watching(fleet.polls_at_start);
     SimulatedNode {
         client,
         net: FakeTransport::default(),
@@ -173,7 +173,7 @@
                     self.timers
                         .set(now + delay, TimerEvent::DecisionEngine(token));
                 }
-                Action::Subscribe(on) => self.client.subscribe(on),
+                Action::Subscribe(on) => self.client.set_watching(on),
                 _ => {}
             }
         }
--- a/crates/node/src/discovery/server_starts.rs
+++ b/crates/node/src/discovery/server_starts.rs
@@ -24,7 +24,7 @@
 }
 
 /// The start times of the listed servers.
-pub(crate) struct ServerStarts {
+pub(crate) struct ServerStartTimes {
     /// Unix time at which the node's clock began. It is read once: if the start time of a server varied between two lists,
     /// the server would appear to have restarted.
     clock_start: Micros,
@@ -33,9 +33,9 @@
     known: HashMap<ServerId, KnownStart>,
 }
 
-impl ServerStarts {
-    pub(crate) fn new(clock_start: Micros) -> ServerStarts {
-        ServerStarts {
+impl ServerStartTimes {
+    pub(crate) fn new(clock_start: Micros) -> ServerStartTimes {
+        ServerStartTimes {
             clock_start,
             last_list: None,
             known: HashMap::new(),
--- a/crates/node/src/discovery/server_starts_tests.rs
+++ b/crates/node/src/discovery/server_starts_tests.rs
@@ -10,13 +10,13 @@
     json!({"uid": uid, "endpoint": "10.0.0.1:1", "state": state, "boot_ms": boot_ms})
 }
 
-fn starts() -> ServerStarts {
-    ServerStarts::new(PROCESS_START_MS * 1000)
+fn starts() -> ServerStartTimes {
+    ServerStartTimes::new(PROCESS_START_MS * 1000)
 }
 
 /// Applies a list and returns the start time of each of its servers.
 fn apply(
-    starts: &mut ServerStarts,
+    starts: &mut ServerStartTimes,
     kind: EndpointListKind,
     targets: &[Value],
     now: Micros,
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -120,7 +120,7 @@
         self.events.pop_front()
     }
 
-    /// Handles one event and returns the resulting actions. The caller returns the buffer with [`EngineQueue::recycle`].
+    /// Handles one event and returns the resulting actions. The caller returns the buffer with [`EngineQueue::return_buffer`].
     pub(crate) fn handle<N: Transport>(
         &mut self,
         net: &mut N,
@@ -140,7 +140,7 @@
     }
 
     /// Takes back the buffer of [`EngineQueue::handle`], which the caller has emptied, for the next event.
-    pub(crate) fn recycle(&mut self, actions: Vec<Action>) {
+    pub(crate) fn return_buffer(&mut self, actions: Vec<Action>) {
         self.actions = actions;
     }
 }
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -120,14 +120,14 @@
     /// # Errors
     /// The system's error if polling fails.
     pub fn run_once(&mut self, wait: Micros) -> io::Result<()> {
-        let mut ready = std::mem::take(&mut self.io.ready);
+        let mut ready = std::mem::take(&mut self.io.ready_events);
         self.poll(&mut ready, wait)?;
         // Sockets are handled before timers, so that on a node short of CPU time a response that arrived in time does not
         // count as late.
         for event in &ready {
             self.handle_ready_event(event);
         }
-        self.io.ready = ready;
+        self.io.ready_events = ready;
         self.accept_admin_clients();
         self.accept_clients();
         self.handle_engine_events();
@@ -171,7 +171,7 @@
     ) -> T {
         let mut context = UpstreamContext {
             now: self.io.now(),
-            net: &mut self.io.net,
+            net: &mut self.io.transport,
             timers: &mut self.timers,
             scratch: &mut self.io.scratch,
         };
@@ -183,19 +183,19 @@
     fn handle_engine_events(&mut self) {
         while let Some(event) = self.engine.next_event() {
             let now = self.io.now();
-            let mut actions = self.engine.handle(&mut self.io.net, now, event);
+            let mut actions = self.engine.handle(&mut self.io.transport, now, event);
             for action in actions.drain(..) {
-                self.engine.trace_action(&mut self.io.net, &action);
+                self.engine.trace_action(&mut self.io.transport, &action);
                 self.perform_action(action, now);
             }
-            self.engine.recycle(actions);
+            self.engine.return_buffer(actions);
         }
-        let steps = self.upstreams.steps.iter_mut();
+        let steps = self.upstreams.connection_steps.iter_mut();
         for (server, step) in steps.flat_map(|steps| steps.drain(..)) {
-            Trace::connection(&mut self.io.net, &server, step);
+            Trace::connection(&mut self.io.transport, &server, step);
         }
         let discovery = &mut self.discovery.client;
-        let event = discovery.start_request(&mut self.io.net, &mut self.timers);
+        let event = discovery.start_request(&mut self.io.transport, &mut self.timers);
         self.handle_discovery(event);
     }
 
--- a/crates/node/src/event_loop/accepting.rs
+++ b/crates/node/src/event_loop/accepting.rs
@@ -34,7 +34,7 @@
             };
             let token = client_token(self.frontends.clients.vacant_key());
             let listener = &mut self.frontends.listeners[index];
-            match self.io.net.accept(&mut listener.socket, token) {
+            match self.io.transport.accept(&mut listener.socket, token) {
                 Ok(stream) => {
                     let protocol = listener.protocol;
                     self.add_client(stream, protocol, has_slot);
--- a/crates/node/src/event_loop/admin.rs
+++ b/crates/node/src/event_loop/admin.rs
@@ -11,7 +11,7 @@
     pub(super) fn accept_admin_clients(&mut self) {
         let now = self.io.now();
         if let Some(server) = &mut self.admin.server {
-            server.accept(&mut self.io.net, now);
+            server.accept(&mut self.io.transport, now);
         }
     }
 
@@ -27,8 +27,8 @@
             unfinished_responses: self.frontends.unfinished_responses(),
         };
         let (admin, lifecycle, io) = (&self.admin, &mut self.lifecycle, &mut self.io);
-        server.ready(key, event, now, &mut scratch, |request| {
-            admin.answer(request, now, lifecycle, io, &sources)
+        server.client_ready(key, event, now, &mut scratch, |request| {
+            admin.handle(request, now, lifecycle, io, &sources)
         });
         self.io.scratch = scratch;
         self.admin.server = Some(server);
--- a/crates/node/src/event_loop/attempts.rs
+++ b/crates/node/src/event_loop/attempts.rs
@@ -63,7 +63,7 @@
             self.stop_attempts(key);
         }
         if !may_start || !is_connected || !self.count_attempt_in_ledger(key, attempt, now) {
-            return self.end_attempt(key, attempt, AttemptResult::of(Status::NotSent));
+            return self.end_attempt(key, attempt, AttemptResult::with_status(Status::NotSent));
         }
         let encoded = self.encode_request(key, protocol, wait);
         let exchange = Exchange::Attempt(attempt_id);
@@ -75,7 +75,7 @@
                 self.requests[key].attempts[attempt].connection = Some(connection);
                 self.timers.set(now + wait, TimerEvent::Attempt(attempt_id));
             }
-            Err(status) => self.end_attempt(key, attempt, AttemptResult::of(status)),
+            Err(status) => self.end_attempt(key, attempt, AttemptResult::with_status(status)),
         }
     }
 
@@ -143,7 +143,7 @@
         } else {
             status
         };
-        self.end_attempt(key, attempt, AttemptResult::of(status));
+        self.end_attempt(key, attempt, AttemptResult::with_status(status));
     }
 
     /// Reports the end of an attempt to the decision engine. Called exactly once for each attempt.
--- a/crates/node/src/event_loop/clients.rs
+++ b/crates/node/src/event_loop/clients.rs
@@ -131,7 +131,7 @@
         let parsed = ParsedRequest {
             protocol: RequestProtocol::Resp2,
             keyed: None,
-            key: words[1].clone(),
+            cache_key: words[1].clone(),
             fields: words[3].clone(),
             value: words.get(4).cloned(),
             reserved: command.reserved,
@@ -219,7 +219,11 @@
         self.requests.close(key);
         let now = self.io.now();
         self.upstreams.abandon(connection, now);
-        self.end_attempt(key, stream.attempt, AttemptResult::of(Status::Cancelled));
+        self.end_attempt(
+            key,
+            stream.attempt,
+            AttemptResult::with_status(Status::Cancelled),
+        );
     }
 
     /// Serves the clients that were marked as dirty: writes their responses and reads their requests.
@@ -237,7 +241,7 @@
             }
             self.stream_value(key);
             self.read_client(key);
-            if self.lifecycle.is_closing_clients() {
+            if self.lifecycle.closes_clients() {
                 self.close_idle_client(key, now);
             }
             let Some(client) = self.frontends.clients.get_mut(key) else {
--- a/crates/node/src/event_loop/disconnects.rs
+++ b/crates/node/src/event_loop/disconnects.rs
@@ -22,7 +22,7 @@
         let deferred = self.freshness.take_deferred();
         let wake = self.io.now() + if deferred.is_empty() { wait } else { 0 };
         let wait = wake - self.io.now();
-        self.io.net.poll(ready, wait.max(0))?;
+        self.io.transport.poll(ready, wait.max(0))?;
         let now = self.io.now();
         let newest = self.serials.last();
         self.freshness.record_poll(now, wake, ready.len(), newest);
@@ -56,7 +56,7 @@
         for _ in 0..MAX_POLLS_WITHIN_ROUND {
             let now = self.io.now();
             // A failure of polling is reported by the next round.
-            if self.io.net.poll(&mut ready, 0).is_err() || ready.is_empty() {
+            if self.io.transport.poll(&mut ready, 0).is_err() || ready.is_empty() {
                 self.freshness
                     .record_poll_within_round(now, self.serials.last());
                 return;
--- a/crates/node/src/event_loop/disconnects_tests.rs
+++ b/crates/node/src/event_loop/disconnects_tests.rs
@@ -10,7 +10,7 @@
 
 use super::*;
 use crate::config;
-use crate::test_support::{config_text, connected, input_ended, DISCOVERY_AT};
+use crate::test_support::{config_text, connected, input_ended, DISCOVERY_ADDRESS};
 use crate::transport::{PendingSignals, Stream};
 
 /// The time after a disconnect within which attempts for the client may still start.
@@ -140,7 +140,7 @@
     }
 
     fn connect(&mut self, to: SocketAddr, token: Token) -> io::Result<SlowConnection> {
-        if to.to_string() == DISCOVERY_AT {
+        if to.to_string() == DISCOVERY_ADDRESS {
             return Err(ErrorKind::ConnectionRefused.into());
         }
         self.0.borrow_mut().connecting.push(token);
--- a/crates/node/src/event_loop/dispatch.rs
+++ b/crates/node/src/event_loop/dispatch.rs
@@ -35,8 +35,8 @@
             }
             Action::Probe(server) => self.start_probe(&server, now),
             Action::CloseIdleConnections(server) => self.upstreams.close_idle(&server),
-            Action::Subscribe(on) => self.discovery.client.subscribe(on),
-            Action::FetchEndpointList => self.discovery.client.fetch(),
+            Action::Subscribe(on) => self.discovery.client.set_watching(on),
+            Action::FetchEndpointList => self.discovery.client.request_full_list(),
             Action::Log(text) => self.io.log(&text),
         }
     }
@@ -55,7 +55,7 @@
         let serial = self.serials.next();
         let request = match self.upstreams.protocol(server) {
             Protocol::Memcached => encode_memcached_probe(serial),
-            Protocol::Resp2 => encode_resp2_probe(self.probes.with_load),
+            Protocol::Resp2 => encode_resp2_probe(self.probes.requests_load_report),
         };
         self.probes.insert(serial, server.clone(), now);
         let probe = Exchange::Probe { serial };
--- a/crates/node/src/event_loop/endpoint_list.rs
+++ b/crates/node/src/event_loop/endpoint_list.rs
@@ -61,10 +61,10 @@
         for listed in &list.targets {
             self.update_pool(listed);
             let mut entry = self.engine.names.endpoint(&listed.entry);
-            entry.started = self.discovery.starts.start_of(listed, now);
+            entry.started = self.discovery.start_times.start_of(listed, now);
             entries.push(entry);
         }
-        self.discovery.starts.list_applied(&list, kind, now);
+        self.discovery.start_times.list_applied(&list, kind, now);
         self.engine.push(Event::EndpointList(kind, entries.into()));
     }
 
--- a/crates/node/src/event_loop/memcached_requests.rs
+++ b/crates/node/src/event_loop/memcached_requests.rs
@@ -90,7 +90,7 @@
     ) -> Result<(), Rejection> {
         let context = RoutingContext {
             now,
-            unix_time: self.io.net.unix_time_at_start() + now,
+            unix_time: self.io.transport.unix_time_at_start() + now,
             is_rejecting: self.rejects_requests(client, now),
         };
         let Some(frontend) = &mut self.frontends.memcached else {
@@ -112,7 +112,7 @@
         let parsed = ParsedRequest {
             protocol: RequestProtocol::Memcached { opcode, opaque },
             keyed: routed.keyed,
-            key: request.key,
+            cache_key: request.key,
             fields: routed.fields.into(),
             value: routed.write.then_some(request.value),
             reserved: request.reserved,
--- a/crates/node/src/event_loop/outcomes.rs
+++ b/crates/node/src/event_loop/outcomes.rs
@@ -83,14 +83,14 @@
         } else {
             status
         };
-        self.end_attempt(id.request, id.attempt, AttemptResult::of(status));
+        self.end_attempt(id.request, id.attempt, AttemptResult::with_status(status));
     }
 
     /// Gives a request its final response and counts it in the metrics.
     pub(super) fn respond(&mut self, key: usize, response: FinalResponse) {
         let request = &self.requests[key];
         self.admin.metrics.count(request.class, &response);
-        let chunks = request.protocol.encode(&request.key, response);
+        let chunks = request.protocol.encode(&request.cache_key, response);
         self.respond_encoded(key, chunks);
     }
 
@@ -120,7 +120,9 @@
         let expires_at = request.deadline.max(now + longest_deadline) + STREAM_TIME_MARGIN;
         streamed.expires_at = expires_at;
         self.timers.set(expires_at, TimerEvent::Attempt(id));
-        let header = request.protocol.encode_value_header(&request.key, len);
+        let header = request
+            .protocol
+            .encode_value_header(&request.cache_key, len);
         let to = request.respond_to;
         self.engine.push(Event::ResponseStarted {
             request: request.id.clone(),
@@ -150,7 +152,7 @@
         };
         self.upstreams.abandon(connection, now);
         self.end_stream(key, false);
-        self.end_attempt(key, attempt, AttemptResult::of(Status::Reset));
+        self.end_attempt(key, attempt, AttemptResult::with_status(Status::Reset));
     }
 
     /// Ends a streamed value that is complete or has broken off. A client that has received a part of an incomplete value must
--- a/crates/node/src/event_loop/shutdown.rs
+++ b/crates/node/src/event_loop/shutdown.rs
@@ -4,14 +4,14 @@
 
 use super::Node;
 use crate::engine::DecisionEngine;
-use crate::lifecycle::Accept;
+use crate::lifecycle::AcceptMode;
 use crate::reload::ReloadOutcome;
 use crate::timers::TimerEvent;
 use crate::transport::Transport;
 
 impl<N: Transport, M: DecisionEngine> Node<N, M> {
     pub(super) fn handle_signals(&mut self, now: Micros) {
-        let signals = self.io.net.take_signals();
+        let signals = self.io.transport.take_signals();
         if signals.reload {
             self.start_reload(now);
         }
@@ -25,7 +25,7 @@
     }
 
     fn start_reload(&mut self, now: Micros) {
-        let outcome = self.reload.signalled(now, &mut self.timers);
+        let outcome = self.reload.handle_signal(now, &mut self.timers);
         self.handle_reload(outcome);
     }
 
@@ -78,10 +78,10 @@
         let now = self.io.now();
         let lifecycle = &self.lifecycle;
         let listeners = &mut self.frontends.listeners;
-        listeners.retain(|listener| lifecycle.accepts(now, listener.inherited) != Accept::No);
+        listeners.retain(|listener| lifecycle.accepts(now, listener.inherited) != AcceptMode::No);
         let accepts_are_last = listeners
             .iter()
-            .any(|listener| lifecycle.accepts(now, listener.inherited) == Accept::Last);
+            .any(|listener| lifecycle.accepts(now, listener.inherited) == AcceptMode::DrainQueue);
         if accepts_are_last && !self.close_listeners() {
             return now >= self.lifecycle.exit_by();
         }
@@ -89,7 +89,7 @@
             self.lifecycle.listeners_closed();
         }
         self.lifecycle
-            .is_over(now, !self.frontends.clients.is_empty())
+            .should_exit(now, !self.frontends.clients.is_empty())
     }
 
     /// Closes each listener whose accept queue is empty. Returns true if all are closed. A listener is closed immediately after
@@ -111,9 +111,9 @@
         let Some(client) = self.frontends.clients.get_mut(key) else {
             return;
         };
-        let closes = self
-            .lifecycle
-            .closes_idle(now, client.accepted(), client.last_request());
+        let closes =
+            self.lifecycle
+                .should_close_idle(now, client.accepted(), client.last_request());
         if closes && client.is_idle_without_input() {
             client.close_after_responses();
             // Sending ends at once: a request that arrived between the check and the end of sending would not be answered.
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -13,7 +13,7 @@
 use crate::descriptors::{DescriptorShares, PROCESSES_PER_INHERITED_LISTENER};
 use crate::discovery::client::DiscoveryClient;
 use crate::discovery::schedule::PollSchedule;
-use crate::discovery::server_starts::ServerStarts;
+use crate::discovery::server_starts::ServerStartTimes;
 use crate::discovery::Discovery;
 use crate::engine::{DecisionEngine, EngineQueue};
 use crate::event_trace::Trace;
@@ -57,13 +57,13 @@
         source: ConfigSource,
         wrap: impl FnOnce(Balancer) -> M,
     ) -> io::Result<Node<N, M>> {
-        let is_inherited = config.accept_fd.is_some();
+        let is_inherited = config.inherited_listener_fd.is_some();
         let listeners = open_client_listeners(&config, &mut net)?;
         let admin_server = open_admin_listener(&config, &mut net)?;
         let discovery = Discovery {
             client: discovery_client(&config),
             addresses: AddressTable::default(),
-            starts: ServerStarts::new(net.unix_time_at_start()),
+            start_times: ServerStartTimes::new(net.unix_time_at_start()),
         };
         let settings = config.settings;
         let classes = settings.classes.len();
@@ -71,12 +71,12 @@
         let deadlines = settings.classes.iter().map(|class| class.deadline);
         let longest_deadline = deadlines.max().unwrap_or(0);
         let processes = processes_per_limit(is_inherited);
-        let memory = config.memory / processes;
+        let memory = config.memory_bytes / processes;
         let requests = RequestTable::new(memory, settings.max_in_flight, longest_deadline);
         let balancer =
             Balancer::new(settings, config.seed, 0).map_err(|e| io::Error::other(e.to_string()))?;
         let decision = wrap(balancer);
-        let shares = DescriptorShares::of(config.sockets, admin_server.is_some());
+        let shares = DescriptorShares::divide(config.max_descriptors, admin_server.is_some());
         // Request ids must be unique among all processes of all nodes.
         let request_id_prefix = config.seed ^ net.unix_time_at_start() as u64;
         let hot_restart = is_inherited
@@ -91,14 +91,14 @@
             frontends: Frontends::new(listeners, shares.clients, memcached),
             upstreams: UpstreamPools::new(
                 shares.upstream / processes,
-                config.server_idle,
+                config.server_idle_timeout,
                 connect_timeout,
                 config.trace,
             ),
-            probes: Probes::new(config.probe_load),
+            probes: Probes::new(config.probes_request_load),
             discovery,
             admin: Admin::new(admin_server, classes),
-            lifecycle: Lifecycle::new(is_inherited, !config.known.targets.is_empty()),
+            lifecycle: Lifecycle::new(is_inherited, !config.initial_endpoints.targets.is_empty()),
             hot_restart,
             timers: Timers::default(),
             freshness: SocketFreshness::default(),
@@ -106,7 +106,7 @@
             reload: Reload::new(source),
         };
         node.restore_snapshot();
-        node.apply_endpoint_list(config.known, Some(EndpointListKind::Cached));
+        node.apply_endpoint_list(config.initial_endpoints, Some(EndpointListKind::Cached));
         node.timers.set(SWEEP_INTERVAL, TimerEvent::Sweep);
         Ok(node)
     }
@@ -123,7 +123,7 @@
 fn discovery_client<S: Stream>(config: &Config) -> DiscoveryClient<S> {
     let polls = config.settings.poll_endpoint_list;
     let schedule = PollSchedule::new(polls, config.settings.drain_grace, config.phase);
-    let revision = config.known.rev;
+    let revision = config.initial_endpoints.rev;
     DiscoveryClient::new(config.discovery, DISCOVERY, revision, schedule)
 }
 
@@ -140,7 +140,7 @@
     config: &Config,
     net: &mut N,
 ) -> io::Result<Vec<Listener<N::Listener>>> {
-    let socket = match config.accept_fd {
+    let socket = match config.inherited_listener_fd {
         Some(fd) => net
             .inherit(fd, RESP2_LISTENER)
             .map_err(|e| io::Error::new(e.kind(), format!("inherited descriptor {fd}: {e}")))?,
@@ -149,7 +149,7 @@
     let mut listeners = vec![Listener {
         socket,
         token: RESP2_LISTENER,
-        inherited: config.accept_fd.is_some(),
+        inherited: config.inherited_listener_fd.is_some(),
         protocol: Protocol::Resp2,
         has_pending_connections: true,
     }];
@@ -172,7 +172,7 @@
     config: &Config,
     net: &mut N,
 ) -> io::Result<Option<AdminServer<N>>> {
-    let Some(at) = config.ops else {
+    let Some(at) = config.admin_address else {
         return Ok(None);
     };
     let listener = net
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -68,9 +68,9 @@
         io: &mut Io<N>,
         decision: &mut M,
     ) {
-        let now = io.net.now();
-        let machine_time = io.net.machine_time();
-        let restored = match io.net.load_snapshot() {
+        let now = io.transport.now();
+        let machine_time = io.transport.machine_time();
+        let restored = match io.transport.load_snapshot() {
             Ok(None) => return,
             Ok(Some(snapshot)) => unpack(&self.owner, machine_time, &snapshot),
             Err(e) => Err(e.into()),
@@ -106,11 +106,11 @@
         let Ok(payload) = postcard::to_stdvec(&checkpoint) else {
             return;
         };
-        let machine_time = io.net.machine_time();
+        let machine_time = io.transport.machine_time();
         let Ok(snapshot) = encode(&self.owner, VERSION, machine_time, &payload) else {
             return;
         };
-        if let SnapshotSave::Failed(reason) = io.net.save_snapshot(snapshot) {
+        if let SnapshotSave::Failed(reason) = io.transport.save_snapshot(snapshot) {
             io.log(&format!("handover: not kept: {reason}"));
         }
     }
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -6,9 +6,9 @@
 
 /// The transport with the buffers and the log that are used with it.
 pub(crate) struct Io<N> {
-    pub(crate) net: N,
+    pub(crate) transport: N,
     /// Buffer for the events of the next poll; its content is that of the last one.
-    pub(crate) ready: Vec<ReadyEvent>,
+    pub(crate) ready_events: Vec<ReadyEvent>,
     /// Scratch space for reads, [`MAX_READ`] bytes long.
     pub(crate) scratch: Vec<u8>,
     log: Log,
@@ -17,19 +17,19 @@
 impl<N: Transport> Io<N> {
     pub(crate) fn new(net: N) -> Io<N> {
         Io {
-            net,
-            ready: Vec::new(),
+            transport: net,
+            ready_events: Vec::new(),
             scratch: vec![0; MAX_READ],
             log: Log::default(),
         }
     }
 
     pub(crate) fn now(&self) -> Micros {
-        self.net.now()
+        self.transport.now()
     }
 
     /// Writes a log line, unless the limit per second is reached.
     pub(crate) fn log(&mut self, text: &str) {
-        self.log.line(&mut self.net, text);
+        self.log.line(&mut self.transport, text);
     }
 }
--- a/crates/node/src/lifecycle.rs
+++ b/crates/node/src/lifecycle.rs
@@ -42,11 +42,11 @@
 
 /// Whether connections are accepted from a listener.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Accept {
+pub(crate) enum AcceptMode {
     /// Connections are accepted.
     Yes,
     /// The connections that are waiting now are the last to be accepted; then the listener is closed.
-    Last,
+    DrainQueue,
     /// Connections are no longer accepted.
     No,
 }
@@ -151,14 +151,14 @@
     }
 
     /// Whether connections are accepted from a listener. `inherited`: whether the listener was inherited.
-    pub(crate) fn accepts(&self, now: Micros, inherited: bool) -> Accept {
+    pub(crate) fn accepts(&self, now: Micros, inherited: bool) -> AcceptMode {
         match self.phase {
-            Phase::Serving | Phase::Evacuating(_) => Accept::Yes,
+            Phase::Serving | Phase::Evacuating(_) => AcceptMode::Yes,
             // The other process accepts the connections that are waiting at the shared listener.
-            Phase::Stopping(_) | Phase::ListenersClosed(_) if inherited => Accept::No,
-            Phase::Stopping(since) if now - since < ACCEPT_AFTER_STOP => Accept::Yes,
-            Phase::Stopping(_) => Accept::Last,
-            Phase::ListenersClosed(_) => Accept::No,
+            Phase::Stopping(_) | Phase::ListenersClosed(_) if inherited => AcceptMode::No,
+            Phase::Stopping(since) if now - since < ACCEPT_AFTER_STOP => AcceptMode::Yes,
+            Phase::Stopping(_) => AcceptMode::DrainQueue,
+            Phase::ListenersClosed(_) => AcceptMode::No,
         }
     }
 
@@ -171,7 +171,7 @@
 
     /// Whether a connection without a pending response is closed at `now`. `accepted`: when it was accepted; `last_request`:
     /// when its last request arrived, None if it has carried none.
-    pub(crate) fn closes_idle(
+    pub(crate) fn should_close_idle(
         &self,
         now: Micros,
         accepted: Micros,
@@ -190,12 +190,12 @@
     }
 
     /// Whether client connections are being closed, so that each one has to be checked after a response.
-    pub(crate) fn is_closing_clients(&self) -> bool {
+    pub(crate) fn closes_clients(&self) -> bool {
         self.phase != Phase::Serving
     }
 
     /// Whether the process exits at `now`.
-    pub(crate) fn is_over(&self, now: Micros, has_clients: bool) -> bool {
+    pub(crate) fn should_exit(&self, now: Micros, has_clients: bool) -> bool {
         // At `exit_by` the process exits even if connections are waiting for which it has no capacity: waiting until it is
         // killed would not answer them either.
         now >= self.exit_by || matches!(self.phase, Phase::ListenersClosed(_)) && !has_clients
--- a/crates/node/src/lifecycle_tests.rs
+++ b/crates/node/src/lifecycle_tests.rs
@@ -10,17 +10,21 @@
     assert!(lifecycle.is_ready(0) && lifecycle.answers_ping());
     assert!(lifecycle.stop(10 * S, 2 * S) && !lifecycle.stop(11 * S, 2 * S));
     assert!(!lifecycle.is_ready(10 * S) && lifecycle.answers_ping());
-    assert_eq!(lifecycle.accepts(10 * S + 499_999, false), Accept::Yes);
-    assert_eq!(lifecycle.accepts(10 * S + 500_000, false), Accept::Last);
+    assert_eq!(lifecycle.accepts(10 * S + 499_999, false), AcceptMode::Yes);
+    assert_eq!(
+        lifecycle.accepts(10 * S + 500_000, false),
+        AcceptMode::DrainQueue
+    );
     assert!(
-        !lifecycle.is_over(10 * S + 500_000, false),
+        !lifecycle.should_exit(10 * S + 500_000, false),
         "its listener is still open"
     );
     lifecycle.listeners_closed();
-    assert_eq!(lifecycle.accepts(11 * S, false), Accept::No);
-    assert!(lifecycle.is_over(11 * S, false) && !lifecycle.is_over(11 * S, true));
+    assert_eq!(lifecycle.accepts(11 * S, false), AcceptMode::No);
+    assert!(lifecycle.should_exit(11 * S, false) && !lifecycle.should_exit(11 * S, true));
     assert!(
-        !lifecycle.is_over(12 * S + 499_999, true) && lifecycle.is_over(12 * S + 500_000, true)
+        !lifecycle.should_exit(12 * S + 499_999, true)
+            && lifecycle.should_exit(12 * S + 500_000, true)
     );
 }
 
@@ -38,7 +42,7 @@
     );
     lifecycle.endpoint_list_received();
     assert!(lifecycle.is_ready(0));
-    assert_eq!(lifecycle.accepts(0, true), Accept::Yes);
+    assert_eq!(lifecycle.accepts(0, true), AcceptMode::Yes);
     assert!(
         lifecycle.saves_snapshots(0)
             && lifecycle.evacuate(S)
@@ -52,7 +56,7 @@
     );
     assert_eq!(
         (lifecycle.accepts(S, true), lifecycle.accepts(S, false)),
-        (Accept::No, Accept::Yes)
+        (AcceptMode::No, AcceptMode::Yes)
     );
     let mut without_list = Lifecycle::new(true, false);
     assert!(!without_list.is_ready(60 * S), "it has no list");
@@ -63,12 +67,15 @@
 #[test]
 fn evacuation_closes_connections_after_responses_and_idle_ones_after_2_s() {
     let mut lifecycle = Lifecycle::new(false, true);
-    assert!(!lifecycle.closes_idle(99 * S, 0, Some(98 * S)), "serving");
+    assert!(
+        !lifecycle.should_close_idle(99 * S, 0, Some(98 * S)),
+        "serving"
+    );
     assert!(
         lifecycle.evacuate(10 * S)
             && !lifecycle.is_ready(10 * S)
             && !lifecycle.answers_ping()
-            && lifecycle.is_closing_clients()
+            && lifecycle.closes_clients()
     );
     assert!(
         lifecycle.evacuate(11 * S),
@@ -76,26 +83,29 @@
     );
     assert_eq!(
         lifecycle.accepts(12 * S, true),
-        Accept::Yes,
+        AcceptMode::Yes,
         "new connections are still accepted"
     );
     assert!(
-        lifecycle.closes_idle(10 * S, 0, Some(10 * S)),
+        lifecycle.should_close_idle(10 * S, 0, Some(10 * S)),
         "its request since the evacuation began has been answered"
     );
     assert!(
-        !lifecycle.closes_idle(12 * S - 1, 0, Some(10 * S - 1)),
+        !lifecycle.should_close_idle(12 * S - 1, 0, Some(10 * S - 1)),
         "its client may be about to send a request"
     );
     assert!(
-        lifecycle.closes_idle(12 * S, 0, Some(10 * S - 1))
-            && lifecycle.closes_idle(12 * S, 0, None)
+        lifecycle.should_close_idle(12 * S, 0, Some(10 * S - 1))
+            && lifecycle.should_close_idle(12 * S, 0, None)
     );
     assert!(
-        !lifecycle.closes_idle(12 * S, 12 * S, None) && lifecycle.closes_idle(13 * S, 12 * S, None)
+        !lifecycle.should_close_idle(12 * S, 12 * S, None)
+            && lifecycle.should_close_idle(13 * S, 12 * S, None)
     );
     assert!(
-        lifecycle.rejoin() && lifecycle.is_ready(13 * S) && !lifecycle.closes_idle(99 * S, 0, None)
+        lifecycle.rejoin()
+            && lifecycle.is_ready(13 * S)
+            && !lifecycle.should_close_idle(99 * S, 0, None)
     );
     assert!(lifecycle.rejoin());
 }
@@ -121,13 +131,13 @@
         // Requests accepted before the shutdown have their full time, up to the deadline limit of 3 s.
         assert!(by > 10 * S + longest.min(3 * S) && by < 10 * S + kill - 200_000);
         assert!(
-            lifecycle.closes_idle(by, by, None),
+            lifecycle.should_close_idle(by, by, None),
             "also a connection that has just been accepted"
         );
         // A process that is delayed by 0.15 s at its end still exits before it is killed.
         let exit_by = lifecycle.exit_by();
         assert!(by < exit_by && exit_by < 10 * S + kill - 150_000);
-        assert!(!lifecycle.is_over(by, true) && lifecycle.is_over(exit_by, true));
+        assert!(!lifecycle.should_exit(by, true) && lifecycle.should_exit(exit_by, true));
     }
 }
 
@@ -137,5 +147,8 @@
     lifecycle.evacuate(S);
     assert!(lifecycle.stop(2 * S, S));
     assert!(!lifecycle.rejoin() && !lifecycle.evacuate(2 * S));
-    assert!(!lifecycle.closes_idle(3 * S - 1, 0, None) && lifecycle.closes_idle(3 * S, 0, None));
+    assert!(
+        !lifecycle.should_close_idle(3 * S - 1, 0, None)
+            && lifecycle.should_close_idle(3 * S, 0, None)
+    );
 }
--- a/crates/node/src/reload.rs
+++ b/crates/node/src/reload.rs
@@ -46,7 +46,7 @@
     }
 
     /// Handles SIGHUP: reads the configuration, and schedules a retry if that fails.
-    pub(crate) fn signalled(&mut self, now: Micros, timers: &mut Timers) -> ReloadOutcome {
+    pub(crate) fn handle_signal(&mut self, now: Micros, timers: &mut Timers) -> ReloadOutcome {
         self.retry_until = now + MAX_RETRY_TIME;
         match (self.source)() {
             Ok(config) => self.done(config),
--- a/crates/node/src/reload_tests.rs
+++ b/crates/node/src/reload_tests.rs
@@ -35,7 +35,7 @@
     let (source, reads) = scripted_source(&[false, false, false, true]);
     let (mut reload, mut timers) = (Reload::new(source), Timers::default());
     assert!(matches!(
-        reload.signalled(0, &mut timers),
+        reload.handle_signal(0, &mut timers),
         ReloadOutcome::Failed(_)
     ));
     let (outcomes, _) = expire_all(&mut reload, &mut timers);
@@ -54,7 +54,7 @@
 fn reload_that_never_succeeds_is_given_up_after_the_retry_time() {
     let (source, _) = scripted_source(&[false]);
     let (mut reload, mut timers) = (Reload::new(source), Timers::default());
-    reload.signalled(0, &mut timers);
+    reload.handle_signal(0, &mut timers);
     let (outcomes, last) = expire_all(&mut reload, &mut timers);
     assert!(matches!(outcomes.last(), Some(ReloadOutcome::GivenUp(_))));
     assert_eq!(last, MAX_RETRY_TIME);
@@ -64,9 +64,9 @@
 fn success_after_a_second_signal_ends_the_retries_of_the_first() {
     let (source, reads) = scripted_source(&[false, true]);
     let (mut reload, mut timers) = (Reload::new(source), Timers::default());
-    reload.signalled(0, &mut timers);
+    reload.handle_signal(0, &mut timers);
     assert!(matches!(
-        reload.signalled(1, &mut timers),
+        reload.handle_signal(1, &mut timers),
         ReloadOutcome::Done(_)
     ));
     let (outcomes, _) = expire_all(&mut reload, &mut timers);
--- a/crates/node/src/request_table.rs
+++ b/crates/node/src/request_table.rs
@@ -57,7 +57,7 @@
     pub(crate) protocol: RequestProtocol,
     /// The state of a memcached write that has an idempotency key; `None` for all other requests.
     pub(crate) keyed: Option<KeyedWrite>,
-    pub(crate) key: Bytes,
+    pub(crate) cache_key: Bytes,
     pub(crate) fields: Bytes,
     pub(crate) value: Option<Bytes>,
     /// Bytes that are reserved for `value` in the [`ByteBudget`].
@@ -73,7 +73,7 @@
     pub(crate) respond_to: ResponseAddress,
     pub(crate) protocol: RequestProtocol,
     pub(crate) keyed: Option<KeyedWrite>,
-    pub(crate) key: Bytes,
+    pub(crate) cache_key: Bytes,
     pub(crate) fields: Bytes,
     pub(crate) write: bool,
     /// The value of a write, until the request is closed.
@@ -177,7 +177,7 @@
             respond_to: new.respond_to,
             protocol: parsed.protocol,
             keyed: parsed.keyed,
-            key: parsed.key,
+            cache_key: parsed.cache_key,
             fields: parsed.fields,
             write: new.write,
             value: parsed.value,
--- a/crates/node/src/request_table_tests.rs
+++ b/crates/node/src/request_table_tests.rs
@@ -22,7 +22,7 @@
     let parsed = ParsedRequest {
         protocol: RequestProtocol::Resp2,
         keyed: None,
-        key: Bytes::from_static(b"k"),
+        cache_key: Bytes::from_static(b"k"),
         fields: Bytes::new(),
         value: Some(vec![b'v'; VALUE].into()),
         reserved: VALUE,
--- a/crates/node/src/test_support.rs
+++ b/crates/node/src/test_support.rs
@@ -160,7 +160,7 @@
 
 const LISTEN: &str = "127.0.0.1:7001";
 /// The address of discovery in [`config_text`].
-pub(crate) const DISCOVERY_AT: &str = "127.0.0.1:7002";
+pub(crate) const DISCOVERY_ADDRESS: &str = "127.0.0.1:7002";
 
 /// The configuration of a node with eight servers, a class `read` and a tenant `acme`.
 pub(crate) fn config_text() -> String {
@@ -176,7 +176,7 @@
         })
         .collect();
     format!(
-        r#"{{"name": "n1", "listen": "{LISTEN}", "discovery": "{DISCOVERY_AT}", "seed": "8c1f30d27a5be964",
+        r#"{{"name": "n1", "listen": "{LISTEN}", "discovery": "{DISCOVERY_ADDRESS}", "seed": "8c1f30d27a5be964",
             "limits": {{"cores": 1.0, "memory_mb": 192, "sockets": 1024}},
             "known": {{"rev": 41, "all": true, "targets": [{}]}},
             "settings": {{"classes": [{class}], "discovery": "push", "replicas_of_me": 1,
--- a/crates/node/src/upstream/pool.rs
+++ b/crates/node/src/upstream/pool.rs
@@ -101,9 +101,9 @@
     /// Key and serial number of connections that were established for an attempt and await its confirmation.
     pub(super) established: VecDeque<(usize, u64)>,
     /// Number of attempts written completely since the process started.
-    pub(crate) sends: u64,
+    pub(crate) attempts_written: u64,
     /// Connection steps for the event trace; None if the trace is off. The event loop empties it in each round.
-    pub(crate) steps: Option<Vec<(ServerId, ConnectionStep)>>,
+    pub(crate) connection_steps: Option<Vec<(ServerId, ConnectionStep)>>,
 }
 
 /// The parts of the node that [`UpstreamPools`] uses in a call: the time, the transport, the timers and a read buffer.
@@ -132,8 +132,8 @@
             connect_timeout,
             events: VecDeque::new(),
             established: VecDeque::new(),
-            sends: 0,
-            steps: traced.then(Vec::new),
+            attempts_written: 0,
+            connection_steps: traced.then(Vec::new),
         }
     }
 
@@ -352,7 +352,7 @@
         let c = &mut self.connections[connection];
         if c.send_count_pending && c.exchange.is_some() && c.is_written() {
             c.send_count_pending = false;
-            self.sends += 1;
+            self.attempts_written += 1;
         }
     }
 
@@ -396,7 +396,7 @@
     }
 
     pub(super) fn record_step(&mut self, connection: usize, step: ConnectionStep) {
-        if let Some(steps) = &mut self.steps {
+        if let Some(steps) = &mut self.connection_steps {
             steps.push((self.connections[connection].server.clone(), step));
         }
     }
--- a/crates/node/src/upstream/probes.rs
+++ b/crates/node/src/upstream/probes.rs
@@ -14,14 +14,14 @@
 pub(crate) struct Probes {
     in_flight: HashMap<u64, Probe>,
     /// RESP2 probes request a load report.
-    pub(crate) with_load: bool,
+    pub(crate) requests_load_report: bool,
 }
 
 impl Probes {
     pub(crate) fn new(with_load: bool) -> Probes {
         Probes {
             in_flight: HashMap::new(),
-            with_load,
+            requests_load_report: with_load,
         }
     }
 
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -17,14 +17,14 @@
 /// waits for the response.
 pub(crate) fn encode_resp2(request: &PendingRequest, timeout: Micros) -> EncodedRequest {
     let fields = fields_with_deadline(&request.fields, timeout);
-    let mut out = Vec::with_capacity(128 + request.key.len() + fields.len());
+    let mut out = Vec::with_capacity(128 + request.cache_key.len() + fields.len());
     let (arguments, name): (usize, &[u8]) = if request.value.is_some() {
         (5, b"C.SET")
     } else {
         (4, b"C.GET")
     };
     write_header(&mut out, b'*', arguments);
-    for argument in [name, &request.key, request.id.as_bytes(), &fields] {
+    for argument in [name, &request.cache_key, request.id.as_bytes(), &fields] {
         write_bulk(&mut out, argument);
     }
     let chunks = match &request.value {
@@ -67,7 +67,7 @@
 pub(crate) fn fits_memcached(request: &PendingRequest) -> bool {
     let is_encodable =
         |key: &[u8]| !key.is_empty() && key != NO_IDEMPOTENCY_KEY && !key.contains(&b':');
-    request.key.len() <= MAX_KEY && idempotency_key(request).is_none_or(is_encodable)
+    request.cache_key.len() <= MAX_KEY && idempotency_key(request).is_none_or(is_encodable)
 }
 
 /// The idempotency key in the fields of a request; None if it has none.
@@ -93,13 +93,13 @@
 
 fn encode_memcached_get(request: &PendingRequest, opaque: u32) -> EncodedRequest {
     let opcode = Opcode::Get as u8;
-    let mut out = Vec::with_capacity(HEADER + request.key.len());
+    let mut out = Vec::with_capacity(HEADER + request.cache_key.len());
     write_request(
         &mut out,
         &memcached::Request {
             opcode,
             opaque,
-            key: request.key.clone(),
+            key: request.cache_key.clone(),
             ..memcached::Request::default()
         },
     );
@@ -116,11 +116,11 @@
         opcode,
         opaque,
         extras: Bytes::from_static(&[0; 8]),
-        key: request.key.clone(),
+        key: request.cache_key.clone(),
         ..memcached::Request::default()
     };
     let prefix = idempotency_key.len() + 1;
-    let mut out = Vec::with_capacity(HEADER + 8 + request.key.len() + prefix);
+    let mut out = Vec::with_capacity(HEADER + 8 + request.cache_key.len() + prefix);
     memcached::write_request_header(&mut out, &header, prefix + value.len());
     out.extend_from_slice(idempotency_key);
     out.push(b':');
--- a/crates/node/src/upstream/response.rs
+++ b/crates/node/src/upstream/response.rs
@@ -20,7 +20,7 @@
 
 impl AttemptResult {
     /// A result with neither cache result nor load report.
-    pub(crate) fn of(status: Status) -> AttemptResult {
+    pub(crate) fn with_status(status: Status) -> AttemptResult {
         AttemptResult {
             status,
             cache_result: None,
@@ -44,12 +44,12 @@
         Operation::Get
     };
     match outcome(operation, response.status) {
-        Outcome::Served => AttemptResult::of(Status::Ok),
+        Outcome::Served => AttemptResult::with_status(Status::Ok),
         Outcome::NoValue => AttemptResult {
             cache_result: Some(CacheResult::Miss),
-            ..AttemptResult::of(Status::Ok)
+            ..AttemptResult::with_status(Status::Ok)
         },
-        Outcome::NotServed(status) => AttemptResult::of(status),
+        Outcome::NotServed(status) => AttemptResult::with_status(status),
     }
 }
 
@@ -74,7 +74,7 @@
             };
             AttemptResult {
                 load: parse_load_report(element),
-                ..AttemptResult::of(status)
+                ..AttemptResult::with_status(status)
             }
         }
     }
--- a/crates/sloewick/src/check.rs
+++ b/crates/sloewick/src/check.rs
@@ -118,10 +118,10 @@
     let finding = |found: &config_check::Finding| Finding {
         text: found.to_string(),
         json: json!({
-            "field": found.field, "value": found.value, "why": found.why, "example": found.example,
-            "fatal": found.fatal,
+            "field": found.field, "value": found.value, "why": found.reason, "example": found.example,
+            "fatal": found.is_fatal,
         }),
-        fatal: found.fatal,
+        fatal: found.is_fatal,
     };
     config_check::check(text).iter().map(finding).collect()
 }
@@ -136,7 +136,7 @@
             fatal: true,
         }];
     };
-    let problems = config::memcached(&mut config, text)
+    let problems = config::enable_memcached(&mut config, text)
         .err()
         .unwrap_or_default();
     let mut findings: Vec<Finding> = problems
--- a/crates/sloewick/src/run.rs
+++ b/crates/sloewick/src/run.rs
@@ -69,13 +69,15 @@
     let config = read_config(&path, args)?;
     let listen = config.listen;
     let mut transport = MioTransport::with_signals().map_err(RunError::Signals)?;
-    if let Some(directory) = std::env::var_os("TMPDIR").filter(|_| config.accept_fd.is_some()) {
+    if let Some(directory) =
+        std::env::var_os("TMPDIR").filter(|_| config.inherited_listener_fd.is_some())
+    {
         // The node serves without snapshots, but the next process then has to learn its state again.
         if let Err(error) = transport.save_snapshots_in(directory.as_ref()) {
             let _ = writeln!(std::io::stderr(), "handover: not kept: {error}");
         }
     }
-    let reload = Box::new(move || config::read(&path));
+    let reload = Box::new(move || config::read_file(&path));
     let node = Node::new(config, transport, reload).map_err(|error| RunError::Listen {
         address: listen,
         error,
@@ -108,7 +110,7 @@
     };
     let text = retry_transient(|| std::fs::read_to_string(file))
         .map_err(|error| unusable(error.to_string()))?;
-    config::memcached(config, &text).map_err(|problems| {
+    config::enable_memcached(config, &text).map_err(|problems| {
         let messages: Vec<String> = problems.iter().map(ToString::to_string).collect();
         unusable(messages.join("; "))
     })
@@ -119,7 +121,7 @@
 fn parse_checked(text: &str) -> Result<Config, SettingsError> {
     let problem = config_check::check(text)
         .into_iter()
-        .find(|found| found.fatal);
+        .find(|found| found.is_fatal);
     match (config::parse(text), problem) {
         (Ok(config), None) => Ok(config),
         // Prefers the error of the check, which has the complete field path, the value and an example.
@@ -129,7 +131,7 @@
         {
             let why = format!(
                 "{}: {}; for example {}",
-                problem.value, problem.why, problem.example
+                problem.value, problem.reason, problem.example
             );
             Err(SettingsError::new(&problem.field, why))
         }
--- a/crates/testbed/src/site.rs
+++ b/crates/testbed/src/site.rs
@@ -140,7 +140,7 @@
         let Some(file) = self.file(listen) else {
             return Ok(());
         };
-        sloewick_node::config::memcached(config, &file).map_err(|problems| {
+        sloewick_node::config::enable_memcached(config, &file).map_err(|problems| {
             problems
                 .iter()
                 .map(std::string::ToString::to_string)
--- a/crates/testbed/tests/memcached.rs
+++ b/crates/testbed/tests/memcached.rs
@@ -973,7 +973,7 @@
             (41, &[known]),
         );
         let mut config = config::parse(&text).unwrap();
-        config::memcached(&mut config, &site::memcached_file(None)).unwrap();
+        config::enable_memcached(&mut config, &site::memcached_file(None)).unwrap();
         let host = hosts.world.borrow_mut().host("node", 0, site::SOCKETS);
         hosts.world.borrow_mut().address(host, address(9, 80));
         let seen = Rc::new(RefCell::new(Vec::new()));
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -287,7 +287,7 @@
             .world
             .borrow_mut()
             .address(host, SocketAddr::new(at.ip(), 11211));
-        config::memcached(&mut config, file).unwrap();
+        config::enable_memcached(&mut config, file).unwrap();
     }
     let source = Box::new(move || config::parse(&text));
     let node = Node::new(config, hosts.net(host), source).unwrap();
