--- a/crates/codec/benches/codecs.rs
+++ b/crates/codec/benches/codecs.rs
@@ -59,7 +59,7 @@
 /// A memcached `Get` request of `len` bytes in total.
 fn get(len: usize) -> Vec<u8> {
     let mut out = Vec::new();
-    let key = vec![b'k'; len - memcached::HEADER].into();
+    let key = vec![b'k'; len - memcached::HEADER_BYTES].into();
     let opcode = Opcode::Get as u8;
     memcached::write_request(
         &mut out,
@@ -90,7 +90,9 @@
         .bench_local_refs(|(reader, buf, budget)| {
             for _ in 0..16 {
                 let request = reader.next(buf, budget, 1 << 20);
-                assert!(black_box(request).is_ok_and(|r| r.is_some_and(|r| r.fault.is_none())));
+                assert!(
+                    black_box(request).is_ok_and(|r| r.is_some_and(|r| r.error_status.is_none()))
+                );
             }
         });
 }
--- a/crates/codec/src/http1.rs
+++ b/crates/codec/src/http1.rs
@@ -5,9 +5,9 @@
 use thiserror::Error;
 
 /// Maximum length of a response body, in bytes; enough for a list of over ten thousand servers.
-pub const MAX_BODY: usize = 4 << 20;
+pub const MAX_BODY_BYTES: usize = 4 << 20;
 /// Maximum length of a request line or status line with its header section, in bytes.
-pub const MAX_HEAD: usize = 16 << 10;
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
 /// Maximum number of fields in a header section.
 const MAX_HEADERS: usize = 64;
 /// Status 200 (RFC 9110, section 15.3.1), the only one whose body is read.
@@ -19,7 +19,7 @@
 pub enum ResponseError {
     /// The connection was closed before the response was complete.
     Incomplete,
-    /// The bytes are not a status line and header section, or these exceed [`MAX_HEAD`].
+    /// The bytes are not a status line and header section, or these exceed [`MAX_HEAD_BYTES`].
     Malformed,
     /// The status is not 200.
     UnexpectedStatus,
@@ -27,7 +27,7 @@
     InvalidContentLength,
     /// The size line or the end of a chunk violates RFC 9112, section 7.1.
     InvalidChunk,
-    /// The body exceeds [`MAX_BODY`].
+    /// The body exceeds [`MAX_BODY_BYTES`].
     TooLong,
 }
 
@@ -71,7 +71,7 @@
         Ok(httparse::Status::Partial) if connection_closed => {
             return Err(ResponseError::Incomplete)
         }
-        Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD => return Ok(None),
+        Ok(httparse::Status::Partial) if buf.len() <= MAX_HEAD_BYTES => return Ok(None),
         _ => return Err(ResponseError::Malformed),
     };
     if head.code != Some(STATUS_OK) {
@@ -93,7 +93,7 @@
         .parse()
         .map_err(|_| ResponseError::InvalidContentLength)?;
     match content.get(..length) {
-        _ if length > MAX_BODY => Err(ResponseError::TooLong),
+        _ if length > MAX_BODY_BYTES => Err(ResponseError::TooLong),
         Some(body) => Ok(Some(body.to_vec())),
         None if connection_closed => Err(ResponseError::Incomplete),
         None => Ok(None),
@@ -113,7 +113,7 @@
         if size == 0 {
             return Ok(Some(body));
         }
-        if size > MAX_BODY as u64 {
+        if size > MAX_BODY_BYTES as u64 {
             return Err(ResponseError::TooLong);
         }
         let end = start + size as usize;
@@ -142,9 +142,9 @@
 pub enum RequestError {
     /// The bytes are not a request of HTTP/1.0 or 1.1, or the connection was closed before the request was complete.
     #[error("this is no HTTP/1.1 request")]
-    Unreadable,
-    /// The request line and header section exceed [`MAX_HEAD`], or there are too many fields.
-    #[error("a head has {MAX_HEAD} bytes at most")]
+    Malformed,
+    /// The request line and header section exceed [`MAX_HEAD_BYTES`], or there are too many fields.
+    #[error("a head has {MAX_HEAD_BYTES} bytes at most")]
     TooLong,
 }
 
@@ -160,15 +160,15 @@
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(buf) {
-        Ok(httparse::Status::Complete(len)) if len > MAX_HEAD => Err(RequestError::TooLong),
+        Ok(httparse::Status::Complete(len)) if len > MAX_HEAD_BYTES => Err(RequestError::TooLong),
         Ok(httparse::Status::Complete(_)) => Ok(Some(RequestHead {
             method: head.method.unwrap_or_default().to_string(),
             path: head.path.unwrap_or_default().to_string(),
         })),
-        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD => Err(RequestError::TooLong),
+        Ok(httparse::Status::Partial) if buf.len() > MAX_HEAD_BYTES => Err(RequestError::TooLong),
         Ok(httparse::Status::Partial) if !connection_closed => Ok(None),
         Err(httparse::Error::TooManyHeaders) => Err(RequestError::TooLong),
-        _ => Err(RequestError::Unreadable),
+        _ => Err(RequestError::Malformed),
     }
 }
 
--- a/crates/codec/src/http1_tests.rs
+++ b/crates/codec/src/http1_tests.rs
@@ -35,15 +35,15 @@
         assert_eq!(request_head(&input[..cut], false), Ok(None), "{cut}");
         assert_eq!(
             request_head(&input[..cut], true),
-            Err(RequestError::Unreadable),
+            Err(RequestError::Malformed),
             "{cut}"
         );
     }
     assert_eq!(
         request_head(b"*1\r\n$4\r\nPING\r\n", false),
-        Err(RequestError::Unreadable)
+        Err(RequestError::Malformed)
     );
-    let long = format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(MAX_HEAD));
+    let long = format!("GET / HTTP/1.1\r\nX: {}", "y".repeat(MAX_HEAD_BYTES));
     assert_eq!(
         request_head(long.as_bytes(), false),
         Err(RequestError::TooLong)
--- a/crates/codec/src/memcached.rs
+++ b/crates/codec/src/memcached.rs
@@ -17,19 +17,19 @@
 pub use opcode::Opcode;
 pub use status::Status;
 
-use crate::resp2::{ByteBudget, MAX_BUFFERED_VALUE, MAX_VALUE};
+use crate::resp2::{ByteBudget, MAX_BUFFERED_VALUE_BYTES, MAX_VALUE_BYTES};
 
 /// Length of a packet header in bytes ("Packet Structure").
-pub const HEADER: usize = 24;
+pub const HEADER_BYTES: usize = 24;
 /// Maximum length of a key in bytes, as the protocol defines it.
-pub const MAX_KEY: usize = 250;
+pub const MAX_KEY_BYTES: usize = 250;
 /// Maximum length of the extras in bytes. `Increment` has the longest extras of the protocol.
 pub const MAX_EXTRAS: usize = 20;
 /// Maximum length of a value in bytes that is not reserved in the budget; it counts as memory of its connection.
 pub const MAX_UNRESERVED_VALUE: usize = 4096;
 /// Maximum length of a request body in bytes that is accepted or discarded: the longest value and room for
 /// the extras and key before it. A request with a longer body ends the connection.
-const MAX_BODY: usize = MAX_VALUE + 1024;
+const MAX_BODY: usize = MAX_VALUE_BYTES + 1024;
 
 /// The first byte of a request ("Magic Byte").
 const REQUEST_MAGIC: u8 = 0x80;
@@ -60,7 +60,7 @@
     /// The error status of the response if the request cannot be served; otherwise `None`. The body has been discarded if
     /// the header is invalid or the value exceeds the limit or the budget. It is present if only the opcode does not
     /// allow the lengths of extras, key and value.
-    pub fault: Option<Status>,
+    pub error_status: Option<Status>,
 }
 
 /// A response.
@@ -115,7 +115,7 @@
 
     /// Appends the header, and reserves capacity for the extras and the key that follow it.
     fn write(&self, out: &mut Vec<u8>) {
-        out.reserve(HEADER + self.key_len + self.extras_len);
+        out.reserve(HEADER_BYTES + self.key_len + self.extras_len);
         out.extend_from_slice(&[self.magic, self.opcode]);
         out.extend_from_slice(&(self.key_len as u16).to_be_bytes());
         out.extend_from_slice(&[self.extras_len as u8, self.data_type]);
@@ -168,7 +168,7 @@
             opcode.allows_lengths(self.extras_len, self.key_len, request.value.len())
         });
         if !are_lengths_allowed {
-            request.fault = Some(Status::InvalidArguments);
+            request.error_status = Some(Status::InvalidArguments);
         }
         request
     }
@@ -262,7 +262,7 @@
                         return Ok(None);
                     }
                     let mut request = header.request();
-                    request.fault = Some(*fault);
+                    request.error_status = Some(*fault);
                     self.state = RequestState::Header;
                     return Ok(Some(request));
                 }
@@ -276,10 +276,10 @@
     if buf.first().is_some_and(|magic| *magic != REQUEST_MAGIC) {
         return Err(DecodeErrorKind::InvalidRequestMagic.into());
     }
-    if buf.len() < HEADER {
+    if buf.len() < HEADER_BYTES {
         return Ok(None);
     }
-    let header = Header::parse(&buf[..HEADER]);
+    let header = Header::parse(&buf[..HEADER_BYTES]);
     if !header.has_consistent_lengths() {
         let kind = DecodeErrorKind::KeyAndExtrasExceedBody;
         return Err(header.error(kind, Status::InvalidArguments));
@@ -287,7 +287,7 @@
     if header.body_len > MAX_BODY {
         return Err(header.error(DecodeErrorKind::BodyTooLong, Status::ValueTooLarge));
     }
-    buf.advance(HEADER);
+    buf.advance(HEADER_BYTES);
     Ok(Some(header))
 }
 
@@ -296,8 +296,9 @@
 fn begin_body(header: Header, budget: &mut ByteBudget, max_value: usize) -> RequestState {
     let value_len = header.value_len();
     let needs_reservation = value_len > MAX_UNRESERVED_VALUE;
-    let has_invalid_header =
-        header.data_type != RAW_BYTES || header.key_len > MAX_KEY || header.extras_len > MAX_EXTRAS;
+    let has_invalid_header = header.data_type != RAW_BYTES
+        || header.key_len > MAX_KEY_BYTES
+        || header.extras_len > MAX_EXTRAS;
     let fault = if has_invalid_header {
         Status::InvalidArguments
     } else if value_len > max_value {
@@ -341,7 +342,7 @@
     },
 }
 
-/// Decodes the responses that a cache server sends. Values of more than [`MAX_BUFFERED_VALUE`] bytes are streamed.
+/// Decodes the responses that a cache server sends. Values of more than [`MAX_BUFFERED_VALUE_BYTES`] bytes are streamed.
 #[derive(Debug, Default)]
 pub struct ResponseReader {
     state: ResponseState,
@@ -394,7 +395,7 @@
     /// Reads the body of a response, or the extras and key that precede a long value; `None` while these are incomplete.
     fn read_body(&mut self, header: Header, buf: &mut BytesMut) -> Option<DecodeEvent> {
         let value_len = header.value_len();
-        let is_streamed = value_len > MAX_BUFFERED_VALUE;
+        let is_streamed = value_len > MAX_BUFFERED_VALUE_BYTES;
         let buffered_len = if is_streamed {
             header.key_len + header.extras_len
         } else {
@@ -435,10 +436,10 @@
     if buf.first().is_some_and(|magic| *magic != RESPONSE_MAGIC) {
         return Err(DecodeErrorKind::InvalidResponseMagic);
     }
-    if buf.len() < HEADER {
+    if buf.len() < HEADER_BYTES {
         return Ok(None);
     }
-    let header = Header::parse(&buf[..HEADER]);
+    let header = Header::parse(&buf[..HEADER_BYTES]);
     if !header.has_consistent_lengths() {
         return Err(DecodeErrorKind::KeyAndExtrasExceedBody);
     }
@@ -448,7 +449,7 @@
     if header.data_type != RAW_BYTES {
         return Err(DecodeErrorKind::UnknownDataType);
     }
-    buf.advance(HEADER);
+    buf.advance(HEADER_BYTES);
     Ok(Some(header))
 }
 
--- a/crates/codec/src/memcached_tests.rs
+++ b/crates/codec/src/memcached_tests.rs
@@ -67,7 +67,7 @@
     assert_eq!(error, None);
     assert_eq!(&got[0].extras[..], b"\xde\xad\xbe\xef\x00\x00\x0e\x10");
     assert_eq!(
-        (&got[0].key[..], &got[0].value[..], got[0].fault),
+        (&got[0].key[..], &got[0].value[..], got[0].error_status),
         (&b"Hello"[..], &b"World"[..], None)
     );
     let miss = b"\x81\x00\x00\x00\x00\x00\x00\x01\x00\x00\x00\x09\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00Not found";
@@ -90,7 +90,7 @@
 
 #[test]
 fn long_value_is_streamed_as_it_arrives() {
-    let value = Bytes::from(vec![b'v'; MAX_BUFFERED_VALUE + 1]);
+    let value = Bytes::from(vec![b'v'; MAX_BUFFERED_VALUE_BYTES + 1]);
     let long = Response {
         opcode: Opcode::GetK as u8,
         status: 0,
@@ -115,7 +115,7 @@
     let (mut reader, mut buf) = (ResponseReader::default(), BytesMut::from(&input[..]));
     let first_event = reader.next(&mut buf, MAX_TEST_VALUE * 4).unwrap().unwrap();
     assert!(
-        matches!(first_event, DecodeEvent::ValueStart(r, len) if r.opaque == 3 && len == MAX_BUFFERED_VALUE + 1)
+        matches!(first_event, DecodeEvent::ValueStart(r, len) if r.opaque == 3 && len == MAX_BUFFERED_VALUE_BYTES + 1)
     );
     assert!(reader.is_mid_message());
 }
@@ -190,20 +190,26 @@
         let (got, error) = requests(&long(len), &[30, 2000], bytes);
         assert_eq!((got.len(), error), (2, None));
         assert_eq!(
-            (got[0].fault, got[0].opaque, got[0].reserved),
+            (got[0].error_status, got[0].opaque, got[0].reserved),
             (Some(fault), 9, 0)
         );
-        assert_eq!((got[1].opcode, got[1].fault), (Opcode::Noop as u8, None));
+        assert_eq!(
+            (got[1].opcode, got[1].error_status),
+            (Opcode::Noop as u8, None)
+        );
     }
     let (got, _) = requests(&long(5_000), &[], 5_000);
-    assert_eq!((got[0].fault, got[0].reserved), (None, 5_000));
+    assert_eq!((got[0].error_status, got[0].reserved), (None, 5_000));
 }
 
 #[test]
 fn value_of_maximum_length_is_accepted() {
     let mut out = Vec::new();
-    let (key, extras) = (vec![b'k'; MAX_KEY].into(), Bytes::from_static(&[0; 8]));
-    let (opcode, value) = (Opcode::Set as u8, vec![b'v'; MAX_VALUE].into());
+    let (key, extras) = (
+        vec![b'k'; MAX_KEY_BYTES].into(),
+        Bytes::from_static(&[0; 8]),
+    );
+    let (opcode, value) = (Opcode::Set as u8, vec![b'v'; MAX_VALUE_BYTES].into());
     write_request(
         &mut out,
         &Request {
@@ -215,10 +221,14 @@
         },
     );
     let mut buf = BytesMut::from(&out[..]);
-    let read = RequestReader::default().next(&mut buf, &mut ByteBudget::new(MAX_VALUE), MAX_VALUE);
+    let read = RequestReader::default().next(
+        &mut buf,
+        &mut ByteBudget::new(MAX_VALUE_BYTES),
+        MAX_VALUE_BYTES,
+    );
     assert!(read
         .unwrap()
-        .is_some_and(|r| r.fault.is_none() && r.value.len() == MAX_VALUE));
+        .is_some_and(|r| r.error_status.is_none() && r.value.len() == MAX_VALUE_BYTES));
 }
 
 #[test]
@@ -237,7 +247,7 @@
                 ..Request::default()
             },
         );
-        requests(&out, &[], 0).0[0].fault
+        requests(&out, &[], 0).0[0].error_status
     };
     assert_eq!(make(Opcode::Get, 0, 3, 0), None);
     assert_eq!(make(Opcode::GetKQ, 0, 3, 0), None);
@@ -250,7 +260,7 @@
     assert_eq!(make(Opcode::Get, 0, 3, 1), invalid);
     assert_eq!(make(Opcode::Set, 4, 3, 1), invalid);
     assert_eq!(make(Opcode::Noop, 0, 1, 0), invalid);
-    assert_eq!(make(Opcode::Get, 0, MAX_KEY + 1, 0), invalid);
+    assert_eq!(make(Opcode::Get, 0, MAX_KEY_BYTES + 1, 0), invalid);
 }
 
 #[test]
@@ -287,20 +297,20 @@
     #[test]
     fn decoded_requests_equal_the_encoded_ones_however_bytes_are_split(
         list in prop::collection::vec((any::<u8>(), any::<u16>(), any::<u32>(), any::<u64>(),
-            any_bytes(MAX_EXTRAS + 1), any_bytes(MAX_KEY + 1), any_bytes(300)), 1..6),
+            any_bytes(MAX_EXTRAS + 1), any_bytes(MAX_KEY_BYTES + 1), any_bytes(300)), 1..6),
         cuts in prop::collection::vec(any::<usize>(), 0..20),
     ) {
         let mut input = Vec::new();
         let mut sent = Vec::new();
         for (opcode, vbucket, opaque, cas, extras, key, value) in list {
-            let request = Request { opcode, vbucket, opaque, cas, extras, key, value, reserved: 0, fault: None };
+            let request = Request { opcode, vbucket, opaque, cas, extras, key, value, reserved: 0, error_status: None };
             write_request(&mut input, &request);
             sent.push(request);
         }
         let (whole, error) = requests(&input, &[], 0);
         prop_assert_eq!(error, None);
         prop_assert_eq!(&requests(&input, &cuts, 0).0, &whole);
-        let without_faults: Vec<Request> = whole.into_iter().map(|r| Request { fault: None, ..r }).collect();
+        let without_faults: Vec<Request> = whole.into_iter().map(|r| Request { error_status: None, ..r }).collect();
         prop_assert_eq!(without_faults, sent);
     }
 
--- a/crates/codec/src/resp2.rs
+++ b/crates/codec/src/resp2.rs
@@ -1,9 +1,9 @@
 //! RESP2, the Redis serialization protocol (Redis documentation, "Redis serialization protocol specification"):
 //! readers for commands and replies, and writers for bulk strings and headers.
 //!
-//! Readers are incremental: they hold the state of the message that is being received, allocate memory only for bytes
-//! that have arrived, scan no byte twice for the end of a line, and return the same messages however the bytes are split
-//! into reads. Values of up to [`MAX_BUFFERED_VALUE`] bytes are delivered at once; longer ones in replies are delivered as
+//! Readers are incremental: they hold the state of the message that is being received, allocate memory only for bytes that
+//! have arrived, scan no byte twice for the end of a line, and return the same messages however the bytes are split into
+//! reads. Values of up to [`MAX_BUFFERED_VALUE_BYTES`] bytes are delivered at once; longer ones in replies are delivered as
 //! they arrive.
 
 use std::io::Write;
@@ -12,11 +12,11 @@
 use thiserror::Error;
 
 /// Maximum length of a value in bytes (4 MiB). A header that announces a longer one is an error.
-pub const MAX_VALUE: usize = 4 << 20;
+pub const MAX_VALUE_BYTES: usize = 4 << 20;
 /// Maximum length of a value in a reply that is delivered at once, in bytes. Longer values are streamed.
-pub const MAX_BUFFERED_VALUE: usize = 64 << 10;
+pub const MAX_BUFFERED_VALUE_BYTES: usize = 64 << 10;
 /// Maximum length of an argument that is not a value, in bytes: a name, key, id or list of fields.
-pub const MAX_ARGUMENT: usize = 4096;
+pub const MAX_ARGUMENT_BYTES: usize = 4096;
 /// Maximum length of a line in bytes: a header, a simple string or an error. An error with a load report is far shorter.
 const MAX_LINE: usize = 1024;
 /// Maximum number of words of a command. `C.SET` has five; the commands that client libraries send at the start of a
@@ -24,7 +24,7 @@
 const MAX_WORDS: usize = 16;
 /// Maximum number of elements of an array in a reply. Replies of cache servers have three.
 const MAX_ELEMENTS: usize = 8;
-/// Index of the only word that may be longer than [`MAX_ARGUMENT`]: the value of `C.SET`.
+/// Index of the only word that may be longer than [`MAX_ARGUMENT_BYTES`]: the value of `C.SET`.
 const VALUE_POSITION: usize = 4;
 /// Terminator of a line and of a bulk string.
 const CRLF: &[u8; 2] = b"\r\n";
@@ -152,11 +152,11 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Command {
     /// The command's name and its arguments.
-    pub words: Vec<Bytes>,
+    pub arguments: Vec<Bytes>,
     /// Bytes reserved in the budget for the value; the receiver of the command has to release them.
     pub reserved: usize,
-    /// Whether the value was discarded because the budget had too few bytes available; the word is empty then.
-    pub dropped: bool,
+    /// Whether the value was discarded because the budget had too few bytes available; its argument is empty then.
+    pub value_discarded: bool,
 }
 
 /// What a [`CommandReader`] expects next within a command.
@@ -244,7 +244,7 @@
             }
         };
         self.state = WordState::Header;
-        self.command.words.push(word);
+        self.command.arguments.push(word);
         self.missing_words -= 1;
         Ok(true)
     }
@@ -255,18 +255,18 @@
             Some((b'$', digits)) => parse_number(digits)?,
             _ => return Err(DecodeError::ExpectedBulkString),
         };
-        let max_len = if self.command.words.len() == VALUE_POSITION {
-            MAX_VALUE
+        let max_len = if self.command.arguments.len() == VALUE_POSITION {
+            MAX_VALUE_BYTES
         } else {
-            MAX_ARGUMENT
+            MAX_ARGUMENT_BYTES
         };
         let len = usize::try_from(len)
             .ok()
             .filter(|len| *len <= max_len)
             .ok_or(DecodeError::InvalidLength)?;
-        if len > MAX_ARGUMENT {
+        if len > MAX_ARGUMENT_BYTES {
             if !budget.try_reserve(len) {
-                self.command.dropped = true;
+                self.command.value_discarded = true;
                 self.state = WordState::Discarding(len + CRLF.len());
                 return Ok(());
             }
@@ -455,9 +455,9 @@
         }
         let len = usize::try_from(len)
             .ok()
-            .filter(|len| *len <= MAX_VALUE)
+            .filter(|len| *len <= MAX_VALUE_BYTES)
             .ok_or(DecodeError::InvalidLength)?;
-        if len <= MAX_BUFFERED_VALUE {
+        if len <= MAX_BUFFERED_VALUE_BYTES {
             self.state = ReplyState::Bulk(len);
             return Ok(ReplyStep::Header);
         }
--- a/crates/codec/src/resp2_tests.rs
+++ b/crates/codec/src/resp2_tests.rs
@@ -62,7 +62,7 @@
     input.extend(command(&[b"PING"]));
     let (complete, error) = commands(&input, &[], 1 << 20);
     assert_eq!((complete.len(), error), (2, None));
-    assert_eq!(complete[0].words[4], value);
+    assert_eq!(complete[0].arguments[4], value);
     assert_eq!(complete[0].reserved, 9000);
     for cut in 0..input.len() {
         assert_eq!(
@@ -78,8 +78,8 @@
     input.extend(command(&[b"PING"]));
     let (got, error) = commands(&input, &[5000], 8999);
     assert_eq!(error, None);
-    assert!(got[0].dropped && got[0].reserved == 0 && got[0].words[4].is_empty());
-    assert_eq!(got[1].words, ["PING"]);
+    assert!(got[0].value_discarded && got[0].reserved == 0 && got[0].arguments[4].is_empty());
+    assert_eq!(got[1].arguments, ["PING"]);
 }
 
 #[test]
@@ -102,7 +102,7 @@
     let (mut reader, mut buf) = (CommandReader::default(), BytesMut::new());
     buf.extend_from_slice(b"*5\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$1\r\na\r\n$4194304\r\nxy");
     assert_eq!(
-        reader.next(&mut buf, &mut ByteBudget::new(MAX_VALUE)),
+        reader.next(&mut buf, &mut ByteBudget::new(MAX_VALUE_BYTES)),
         Ok(None)
     );
     assert!(buf.capacity() < 4096);
@@ -122,7 +122,7 @@
         let (got, error) = commands(&input, &cuts, 0);
         prop_assert_eq!(error, None);
         let words: Vec<Vec<Vec<u8>>> =
-            got.iter().map(|c| c.words.iter().map(|w| w.to_vec()).collect()).collect();
+            got.iter().map(|c| c.arguments.iter().map(|w| w.to_vec()).collect()).collect();
         prop_assert_eq!(words, lists);
     }
 
@@ -140,7 +140,7 @@
                 3 => input.extend(b":12\r\n$-1\r\n"),
                 4 => {
                     input.extend(b"*3\r\n");
-                    write_bulk(&mut input, &vec![b'l'; MAX_BUFFERED_VALUE + 7]);
+                    write_bulk(&mut input, &vec![b'l'; MAX_BUFFERED_VALUE_BYTES + 7]);
                     input.extend(b"$4\r\nmiss\r\n$-1\r\n");
                 }
                 _ => input.extend(b"*-1\r\n*1\r\n$0\r\n\r\n"),
--- a/crates/gateway/src/claims.rs
+++ b/crates/gateway/src/claims.rs
@@ -56,14 +56,14 @@
     /// Run the write.
     Run,
     /// Run the write again: if it has run, the cache servers deduplicate it.
-    Repeat {
+    Retry {
         /// Time before which it must be sent to the cache servers, on the arbiter's clock.
-        until: Micros,
+        send_before: Micros,
     },
     /// The write has been served, with this receipt.
     Served(Bytes),
     /// The write may have run, and the cache servers may no longer deduplicate it.
-    Unknown,
+    UnknownOutcome,
     /// The key is reserved for the near site, a request of the key is in flight here, or the ledger is full: this
     /// attempt does not run.
     Reject,
@@ -125,7 +125,7 @@
     /// Claims a key for a near node that has received a retry of a write it has no record of.
     pub fn claim(&mut self, now: Micros, key: &IdempotencyKey) -> Claim {
         self.remove_expired(now);
-        match self.ledger.recorded(key) {
+        match self.ledger.recorded_write(key) {
             Some(RecordedWrite::Served(receipt)) => return Claim::Served(receipt),
             Some(RecordedWrite::MayHaveRun) => return Claim::MayHaveRun,
             None => {}
@@ -157,7 +157,7 @@
     }
 
     /// Decides whether a write that has crossed the link with a valid lease may run. After [`WriteVerdict::Run`] and
-    /// [`WriteVerdict::Repeat`] the caller must record its sends and its end in [`Arbiter::ledger`].
+    /// [`WriteVerdict::Retry`] the caller must record its sends and its end in [`Arbiter::ledger`].
     pub fn begin_write(&mut self, now: Micros, key: &IdempotencyKey) -> WriteVerdict {
         self.remove_expired(now);
         if self.reservations.contains_key(key) {
@@ -165,9 +165,9 @@
         }
         match self.ledger.begin(now, key, false) {
             Verdict::New => WriteVerdict::Run,
-            Verdict::Repeat { until } => WriteVerdict::Repeat { until },
+            Verdict::Retry { send_before } => WriteVerdict::Retry { send_before },
             Verdict::Served(receipt) => WriteVerdict::Served(receipt),
-            Verdict::Unknown => WriteVerdict::Unknown,
+            Verdict::UnknownOutcome => WriteVerdict::UnknownOutcome,
             Verdict::InFlight | Verdict::Full => WriteVerdict::Reject,
         }
     }
--- a/crates/gateway/src/claims_tests.rs
+++ b/crates/gateway/src/claims_tests.rs
@@ -55,7 +55,7 @@
         Claim::MayHaveRun,
         "the write is in flight"
     );
-    assert!(arbiter.ledger().send(2, &key(1)));
+    assert!(arbiter.ledger().record_send(2, &key(1)));
     arbiter.ledger().finish(50, &key(1), None);
     assert_eq!(
         arbiter.claim(60, &key(1)),
@@ -64,7 +64,7 @@
     );
     assert_eq!(
         arbiter.begin_write(70, &key(1)),
-        WriteVerdict::Repeat { until: 9_002 }
+        WriteVerdict::Retry { send_before: 9_002 }
     );
     arbiter
         .ledger()
@@ -75,8 +75,8 @@
     );
     // The cache server rejected the write: it has not run.
     assert_eq!(arbiter.begin_write(100, &key(2)), WriteVerdict::Run);
-    assert!(arbiter.ledger().send(101, &key(2)));
-    arbiter.ledger().never_ran(&key(2), false);
+    assert!(arbiter.ledger().record_send(101, &key(2)));
+    arbiter.ledger().record_never_ran(&key(2), false);
     arbiter.ledger().finish(102, &key(2), None);
     assert_eq!(arbiter.claim(103, &key(2)), Claim::Granted);
 }
@@ -157,8 +157,8 @@
         }
         let key = key(message.write);
         let verdict = arbiter.begin_write(message.arrives_at.max(now), &key);
-        if matches!(verdict, WriteVerdict::Run | WriteVerdict::Repeat { .. }) {
-            let _ = arbiter.ledger().send(now, &key);
+        if matches!(verdict, WriteVerdict::Run | WriteVerdict::Retry { .. }) {
+            let _ = arbiter.ledger().record_send(now, &key);
             ran.push(message.write);
             arbiter.ledger().finish(now, &key, None);
         }
--- a/crates/memcached/src/config.rs
+++ b/crates/memcached/src/config.rs
@@ -57,7 +57,7 @@
     /// Maximum clock skew of a client, in microseconds; used for idempotency keys that carry a timestamp.
     pub max_clock_skew: Micros,
     /// Models of the cache servers that use the binary protocol, as named in the endpoint list.
-    pub models: Vec<String>,
+    pub cache_server_models: Vec<String>,
 }
 
 /// The `[ledger]` section.
@@ -125,7 +125,7 @@
             routes: routes?,
             ledger: ledger.limits,
             max_clock_skew: ledger.max_clock_skew,
-            models,
+            cache_server_models: models,
         })
     })
 }
@@ -230,7 +230,7 @@
         tenant,
         deadline: Micros::from(deadline_ms?) * 1000,
         key_source: key_source?,
-        fields,
+        resp2_fields: fields,
     })
 }
 
--- a/crates/memcached/src/config_tests.rs
+++ b/crates/memcached/src/config_tests.rs
@@ -29,7 +29,7 @@
 fn config_with_cache_server_models_only_needs_no_listener() {
     let config = parse_config("[[box]]\nmodel = \"new\"\nprotocol = \"memcached\"\n").unwrap();
     assert_eq!(
-        (config.listen, config.models),
+        (config.listen, config.cache_server_models),
         (None, vec!["new".to_string()])
     );
 }
--- a/crates/memcached/src/idempotency_ledger.rs
+++ b/crates/memcached/src/idempotency_ledger.rs
@@ -54,14 +54,14 @@
     /// The write is not known to have run: forward it.
     New,
     /// The write may have run, and the cache servers still deduplicate it: forward it.
-    Repeat {
+    Retry {
         /// The request must be sent before this time, on the clock of the node in microseconds.
-        until: Micros,
+        send_before: Micros,
     },
     /// The write has been served, and the deduplication window is over: answer with the recorded receipt.
     Served(Bytes),
     /// The write may have run, no receipt is recorded, and the deduplication window is over: fail the request.
-    Unknown,
+    UnknownOutcome,
     /// Another request of the key is in flight: reject this one. Nothing of this request has run.
     InFlight,
     /// The ledger is full: reject the request. Nothing of it has run.
@@ -119,19 +119,19 @@
         self.entries.is_empty()
     }
 
-    /// Registers a request of a key. After [`Verdict::New`] and [`Verdict::Repeat`] it is in flight until
+    /// Registers a request of a key. After [`Verdict::New`] and [`Verdict::Retry`] it is in flight until
     /// [`IdempotencyLedger::finish`]; after any other verdict it must not be forwarded.
     ///
     /// `expired` means that the key carries a timestamp so old that the cache servers may no longer deduplicate the write.
-    /// An expired key without an entry gets [`Verdict::Unknown`]: it may have run through another node, or before this
-    /// node started.
+    /// An expired key without an entry gets [`Verdict::UnknownOutcome`]: it may have run through another node, or before
+    /// this node started.
     pub fn begin(&mut self, now: Micros, key: &IdempotencyKey, expired: bool) -> Verdict {
         self.remove_expired(now);
         if let Some(entry) = self.entries.get_mut(key) {
             return entry.begin(now, &self.limits);
         }
         if expired {
-            return Verdict::Unknown;
+            return Verdict::UnknownOutcome;
         }
         if self.entries.len() >= self.limits.max_entries {
             return Verdict::Full;
@@ -148,7 +148,7 @@
     }
 
     /// What is recorded about the write of a key. Returns `None` if the write is neither in flight nor may have run.
-    pub fn recorded(&self, key: &IdempotencyKey) -> Option<RecordedWrite> {
+    pub fn recorded_write(&self, key: &IdempotencyKey) -> Option<RecordedWrite> {
         let entry = self.entries.get(key)?;
         if !entry.in_flight && entry.first_sent.is_none() {
             return None;
@@ -163,7 +163,7 @@
     /// Records that an attempt of the key is sent now and may run. Returns false if the attempt must not be sent: no
     /// request of the key is in flight, or the cache servers may no longer deduplicate the write.
     #[must_use]
-    pub fn send(&mut self, now: Micros, key: &IdempotencyKey) -> bool {
+    pub fn record_send(&mut self, now: Micros, key: &IdempotencyKey) -> bool {
         let Some(entry) = self.entries.get_mut(key).filter(|entry| entry.in_flight) else {
             return false;
         };
@@ -171,9 +171,9 @@
         now < self.limits.send_deadline(first_sent) || now == first_sent
     }
 
-    /// Records that an attempt that [`IdempotencyLedger::send`] had recorded certainly did not run. `others_may_have_run`
-    /// states whether another attempt of the key may have run; if so, the entry is not changed.
-    pub fn never_ran(&mut self, key: &IdempotencyKey, others_may_have_run: bool) {
+    /// Records that an attempt that [`IdempotencyLedger::record_send`] had recorded certainly did not run.
+    /// `others_may_have_run` states whether another attempt of the key may have run; if so, the entry is not changed.
+    pub fn record_never_ran(&mut self, key: &IdempotencyKey, others_may_have_run: bool) {
         if others_may_have_run {
             return;
         }
@@ -253,14 +253,14 @@
             self.in_flight = true;
             return Verdict::New;
         };
-        let until = limits.send_deadline(first_sent);
-        if now < until {
+        let send_before = limits.send_deadline(first_sent);
+        if now < send_before {
             self.in_flight = true;
-            return Verdict::Repeat { until };
+            return Verdict::Retry { send_before };
         }
         match &self.receipt {
             Some(receipt) => Verdict::Served(receipt.clone()),
-            None => Verdict::Unknown,
+            None => Verdict::UnknownOutcome,
         }
     }
 }
--- a/crates/memcached/src/idempotency_ledger_tests.rs
+++ b/crates/memcached/src/idempotency_ledger_tests.rs
@@ -22,16 +22,16 @@
 fn retry_is_forwarded_within_the_window_and_answered_with_the_receipt_after_it() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
     assert_eq!(ledger.begin(0, &key(1), false), Verdict::New);
-    assert!(ledger.send(100, &key(1)));
+    assert!(ledger.record_send(100, &key(1)));
     assert_eq!(ledger.begin(150, &key(1), false), Verdict::InFlight);
     ledger.finish(200, &key(1), Some(receipt("receipt")));
     assert_eq!(
         ledger.begin(9_099, &key(1), false),
-        Verdict::Repeat { until: 9_100 }
+        Verdict::Retry { send_before: 9_100 }
     );
-    assert!(ledger.send(9_099, &key(1)));
+    assert!(ledger.record_send(9_099, &key(1)));
     assert!(
-        !ledger.send(9_100, &key(1)),
+        !ledger.record_send(9_100, &key(1)),
         "the attempt could arrive after the window"
     );
     ledger.finish(9_200, &key(1), None);
@@ -45,31 +45,37 @@
 fn retry_without_a_recorded_receipt_fails_after_the_window() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
     assert_eq!(ledger.begin(0, &key(1), false), Verdict::New);
-    assert!(ledger.send(100, &key(1)));
+    assert!(ledger.record_send(100, &key(1)));
     ledger.finish(300, &key(1), None);
-    assert_eq!(ledger.begin(9_100, &key(1), false), Verdict::Unknown);
+    assert_eq!(ledger.begin(9_100, &key(1), false), Verdict::UnknownOutcome);
     // Served, but the receipt is too long to be recorded.
     assert_eq!(ledger.begin(0, &key(2), false), Verdict::New);
-    assert!(ledger.send(0, &key(2)));
+    assert!(ledger.record_send(0, &key(2)));
     ledger.finish(10, &key(2), Some(receipt("longer than eight")));
-    assert_eq!(ledger.begin(20_000, &key(2), false), Verdict::Unknown);
+    assert_eq!(
+        ledger.begin(20_000, &key(2), false),
+        Verdict::UnknownOutcome
+    );
 }
 
 #[test]
 fn write_that_never_ran_is_new_again_and_takes_no_entry() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
     assert_eq!(ledger.begin(0, &key(1), false), Verdict::New);
-    assert!(ledger.send(100, &key(1)));
-    ledger.never_ran(&key(1), false);
+    assert!(ledger.record_send(100, &key(1)));
+    ledger.record_never_ran(&key(1), false);
     ledger.finish(200, &key(1), None);
     assert!(ledger.is_empty());
     assert_eq!(ledger.begin(50_000, &key(1), false), Verdict::New);
     // One attempt was rejected while another may have run.
-    assert!(ledger.send(50_000, &key(1)));
-    assert!(ledger.send(50_100, &key(1)));
-    ledger.never_ran(&key(1), true);
+    assert!(ledger.record_send(50_000, &key(1)));
+    assert!(ledger.record_send(50_100, &key(1)));
+    ledger.record_never_ran(&key(1), true);
     ledger.finish(50_200, &key(1), None);
-    assert_eq!(ledger.begin(90_000, &key(1), false), Verdict::Unknown);
+    assert_eq!(
+        ledger.begin(90_000, &key(1), false),
+        Verdict::UnknownOutcome
+    );
 }
 
 #[test]
@@ -77,11 +83,14 @@
     let mut ledger = IdempotencyLedger::new(LIMITS);
     for n in 0..4 {
         assert_eq!(ledger.begin(0, &key(n), false), Verdict::New);
-        assert!(ledger.send(0, &key(n)));
+        assert!(ledger.record_send(0, &key(n)));
         ledger.finish(10, &key(n), None);
     }
     assert_eq!(ledger.begin(50_000, &key(9), false), Verdict::Full);
-    assert_eq!(ledger.begin(50_000, &key(0), false), Verdict::Unknown);
+    assert_eq!(
+        ledger.begin(50_000, &key(0), false),
+        Verdict::UnknownOutcome
+    );
     assert_eq!(ledger.begin(100_010, &key(9), false), Verdict::New);
     assert_eq!(ledger.len(), 1);
 }
@@ -89,10 +98,10 @@
 #[test]
 fn expired_key_without_an_entry_has_an_unknown_outcome() {
     let mut ledger = IdempotencyLedger::new(LIMITS);
-    assert_eq!(ledger.begin(0, &key(1), true), Verdict::Unknown);
+    assert_eq!(ledger.begin(0, &key(1), true), Verdict::UnknownOutcome);
     assert!(ledger.is_empty());
     assert_eq!(ledger.begin(0, &key(1), false), Verdict::New);
-    assert!(ledger.send(0, &key(1)));
+    assert!(ledger.record_send(0, &key(1)));
     ledger.finish(10, &key(1), Some(receipt("ok")));
     assert_eq!(
         ledger.begin(20_000, &key(1), true),
@@ -113,7 +122,7 @@
             ledger.begin(now, &key(1), false),
             Verdict::InFlight
         ));
-        let _ = ledger.send(now, &key(1));
+        let _ = ledger.record_send(now, &key(1));
         ledger.finish(now, &key(1), None);
         assert!(ledger.ends.len() <= 2 * LIMITS.max_entries + 1);
     }
@@ -150,12 +159,12 @@
             match action {
                 0..=2 if !in_flight.contains_key(&key_number) => {
                     let verdict = ledger.begin(now, &key(key_number), false);
-                    if matches!(verdict, Verdict::New | Verdict::Repeat { .. }) {
+                    if matches!(verdict, Verdict::New | Verdict::Retry { .. }) {
                         in_flight.insert(key_number, false);
                     }
                 }
                 3 if in_flight.contains_key(&key_number) => {
-                    if ledger.send(now, &key(key_number)) {
+                    if ledger.record_send(now, &key(key_number)) {
                         // The attempt arrives within the margin and takes effect unless the cache servers still deduplicate it.
                         let arrives = now + LIMITS.margin - 1;
                         let effect = effects_by_key.entry(key_number).or_insert((arrives, 0));
--- a/crates/memcached/src/routing.rs
+++ b/crates/memcached/src/routing.rs
@@ -106,7 +106,7 @@
 
 /// Why a value has no idempotency key of the form that its route requires. The message is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum KeyError {
+pub enum IdempotencyKeyError {
     /// The value does not begin with an idempotency key.
     #[error("{}", self.message())]
     MissingPrefix,
@@ -115,14 +115,14 @@
     MissingTimestamp,
 }
 
-impl KeyError {
+impl IdempotencyKeyError {
     /// The message that is sent to the client.
     pub fn message(self) -> &'static str {
         match self {
-            KeyError::MissingPrefix => {
+            IdempotencyKeyError::MissingPrefix => {
                 "the value must begin with an idempotency key of 8 to 64 letters, digits or -, and a colon"
             }
-            KeyError::MissingTimestamp => {
+            IdempotencyKeyError::MissingTimestamp => {
                 "the idempotency key must begin with Unix time in milliseconds and a hyphen"
             }
         }
@@ -145,7 +145,7 @@
     /// Where the idempotency key of a write comes from.
     pub key_source: KeySource,
     /// Class and tenant as the list of fields of a RESP2 request, for example `c=alarm-set,t=distribution`.
-    pub fields: String,
+    pub resp2_fields: String,
 }
 
 impl Route {
@@ -157,17 +157,17 @@
         &self,
         key: &[u8],
         value: &[u8],
-    ) -> Result<Option<IdempotencyKey>, KeyError> {
+    ) -> Result<Option<IdempotencyKey>, IdempotencyKeyError> {
         match self.key_source {
             KeySource::None => Ok(None),
             KeySource::Digest => Ok(Some(self.digest_key(key, value))),
             KeySource::Prefix => {
-                let prefix = key_prefix(value).ok_or(KeyError::MissingPrefix)?;
+                let prefix = key_prefix(value).ok_or(IdempotencyKeyError::MissingPrefix)?;
                 Ok(Some(prefix.into()))
             }
             KeySource::Timestamp => {
-                let prefix = key_prefix(value).ok_or(KeyError::MissingPrefix)?;
-                key_timestamp(prefix).ok_or(KeyError::MissingTimestamp)?;
+                let prefix = key_prefix(value).ok_or(IdempotencyKeyError::MissingPrefix)?;
+                key_timestamp(prefix).ok_or(IdempotencyKeyError::MissingTimestamp)?;
                 Ok(Some(prefix.into()))
             }
         }
--- a/crates/memcached/src/routing_tests.rs
+++ b/crates/memcached/src/routing_tests.rs
@@ -35,7 +35,7 @@
         tenant: None,
         deadline: 300_000,
         key_source,
-        fields,
+        resp2_fields: fields,
     }
 }
 
@@ -213,11 +213,11 @@
         "is empty; * stands for all keys"
     );
     assert_eq!(
-        KeyError::MissingTimestamp.to_string(),
+        IdempotencyKeyError::MissingTimestamp.to_string(),
         "the idempotency key must begin with Unix time in milliseconds and a hyphen"
     );
     assert_eq!(
-        KeyError::MissingPrefix.to_string(),
+        IdempotencyKeyError::MissingPrefix.to_string(),
         "the value must begin with an idempotency key of 8 to 64 letters, digits or -, and a colon"
     );
 }
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -171,12 +171,12 @@
             let response = match http1::request_head(&client.input, has_ended) {
                 Ok(None) => return,
                 Ok(Some(head)) => find_route(&head.method, &head.path).map_or_else(|e| e, answer),
-                Err(RequestError::Unreadable) => {
+                Err(RequestError::Malformed) => {
                     AdminResponse::new(400, "this is no HTTP/1.1 request\n")
                 }
                 Err(RequestError::TooLong) => AdminResponse::new(
                     431,
-                    format!("a head has {} bytes at most\n", http1::MAX_HEAD),
+                    format!("a head has {} bytes at most\n", http1::MAX_HEAD_BYTES),
                 ),
             };
             client.answer(&response, now);
@@ -224,7 +224,7 @@
                     self.input.clear();
                 }
                 ReadOutcome::More => {
-                    if self.input.len() > http1::MAX_HEAD {
+                    if self.input.len() > http1::MAX_HEAD_BYTES {
                         return false;
                     }
                 }
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -218,7 +218,7 @@
                 ReadOutcome::Closed => input_ended = true,
                 ReadOutcome::Failed => has_failed = true,
                 ReadOutcome::Empty => {}
-                _ if pending.read_buffer.len() > http1::MAX_HEAD + http1::MAX_BODY => {
+                _ if pending.read_buffer.len() > http1::MAX_HEAD_BYTES + http1::MAX_BODY_BYTES => {
                     return Some(self.fail(DiscoveryError::ResponseTooLong, now, timers));
                 }
                 ReadOutcome::More => continue,
--- a/crates/node/src/event_loop/clients.rs
+++ b/crates/node/src/event_loop/clients.rs
@@ -111,7 +111,7 @@
         command: &Command,
         now: Micros,
     ) -> Option<Bytes> {
-        let words = &command.words;
+        let words = &command.arguments;
         let request = match parse_command(words, &self.engine.names) {
             Ok(ParsedCommand::Ping(text)) => {
                 return Some(encode_pong(text.as_ref(), self.lifecycle.answers_ping()));
@@ -122,7 +122,7 @@
         if self.requests.key_of(&request.id).is_some() {
             return Some(CommandError::IdInUse.encode());
         }
-        if command.dropped || self.rejects_requests(client, now) {
+        if command.value_discarded || self.rejects_requests(client, now) {
             self.admin
                 .metrics
                 .count(request.class, &FinalResponse::Busy(0));
--- a/crates/node/src/event_loop/memcached_requests.rs
+++ b/crates/node/src/event_loop/memcached_requests.rs
@@ -29,7 +29,7 @@
             return self.respond_at_once(client, vec![out.into()], reserved);
         };
         let protocol = RequestProtocol::Memcached { opcode, opaque };
-        let chunks = match (request.fault, opcode.without_quiet()) {
+        let chunks = match (request.error_status, opcode.without_quiet()) {
             // No memory for its value: rejected before anything else is checked. Nothing of it has run, so a retry is harmless.
             (Some(Status::OutOfMemory), _) => protocol.encode(&request.key, FinalResponse::Busy(0)),
             (Some(status), _) => protocol.encode_status(status, None),
--- a/crates/node/src/frontend/memcached.rs
+++ b/crates/node/src/frontend/memcached.rs
@@ -10,7 +10,7 @@
 use sloewick_decision::api::{Micros, Status as AttemptStatus};
 use sloewick_memcached::config::MemcachedConfig;
 use sloewick_memcached::idempotency_ledger::{IdempotencyKey, IdempotencyLedger, Verdict};
-use sloewick_memcached::routing::{self, KeyError, KeySource, Operation, Route};
+use sloewick_memcached::routing::{self, IdempotencyKeyError, KeySource, Operation, Route};
 use thiserror::Error;
 
 use crate::frontend::response::FinalResponse;
@@ -49,7 +49,7 @@
     FlagsNotSupported,
     /// The value holds no idempotency key where its route expects one.
     #[error("{0}")]
-    NoIdempotencyKey(KeyError),
+    NoIdempotencyKey(IdempotencyKeyError),
     #[error("the idempotency key's time lies in the future")]
     FutureIdempotencyKey,
     /// The final response is known without an attempt.
@@ -117,7 +117,7 @@
 
     /// Whether cache servers of this model speak the memcached binary protocol.
     pub(crate) fn is_memcached_model(&self, model: Option<&str>) -> bool {
-        model.is_some_and(|model| self.config.models.iter().any(|m| m == model))
+        model.is_some_and(|model| self.config.cache_server_models.iter().any(|m| m == model))
     }
 
     /// Longest value that is accepted, in bytes.
@@ -175,7 +175,7 @@
             class: route.class,
             tenant: route.tenant,
             deadline: route.deadline,
-            fields: route.fields.clone() + ",d=0",
+            fields: route.resp2_fields.clone() + ",d=0",
             keyed: None,
             write,
         };
@@ -196,7 +196,7 @@
     /// Counts an attempt of a keyed write as one that may run. Returns false if the attempt must not start, since cache servers
     /// may have forgotten an earlier one.
     pub(crate) fn start_attempt(&mut self, keyed: &mut KeyedWrite, now: Micros) -> bool {
-        let may_start = self.ledger.send(now, &keyed.key);
+        let may_start = self.ledger.record_send(now, &keyed.key);
         keyed.attempts_may_have_run += usize::from(may_start);
         may_start
     }
@@ -207,7 +207,8 @@
             keyed.attempts_may_have_run -= 1;
             let others_may_have_run =
                 keyed.earlier_request_may_have_run || keyed.attempts_may_have_run > 0;
-            self.ledger.never_ran(&keyed.key, others_may_have_run);
+            self.ledger
+                .record_never_ran(&keyed.key, others_may_have_run);
         }
         // Recorded even if the client has its response already, so that a duplicate of the write gets the receipt.
         keyed.served |= status == AttemptStatus::Ok;
@@ -252,11 +253,11 @@
     let is_old = age + config.max_clock_skew >= limits.deduplication_window - limits.margin;
     let earlier_request_may_have_run = match ledger.begin(context.now, &key, is_old) {
         Verdict::New => false,
-        Verdict::Repeat { .. } => true,
+        Verdict::Retry { .. } => true,
         Verdict::Served(receipt) => {
             return Err(Rejection::Answered(FinalResponse::Value(receipt)));
         }
-        Verdict::Unknown => return Err(Rejection::Answered(FinalResponse::Failed)),
+        Verdict::UnknownOutcome => return Err(Rejection::Answered(FinalResponse::Failed)),
         Verdict::InFlight | Verdict::Full => {
             return Err(Rejection::Answered(FinalResponse::Busy(0)));
         }
--- a/crates/node/src/frontend/response.rs
+++ b/crates/node/src/frontend/response.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use sloewick_codec::memcached::{self, Opcode, Response, Status};
-use sloewick_codec::resp2::{write_bulk, write_header, MAX_ARGUMENT};
+use sloewick_codec::resp2::{write_bulk, write_header, MAX_ARGUMENT_BYTES};
 use sloewick_decision::api::Micros;
 
 /// The protocol spoken on a connection.
@@ -54,7 +54,7 @@
 
     fn encode_resp2(self, key: &Bytes, response: FinalResponse) -> Vec<Bytes> {
         match response {
-            FinalResponse::Value(value) if value.len() <= MAX_ARGUMENT => {
+            FinalResponse::Value(value) if value.len() <= MAX_ARGUMENT_BYTES => {
                 let mut out = Vec::with_capacity(16 + value.len());
                 write_bulk(&mut out, &value);
                 vec![out.into()]
@@ -89,9 +89,10 @@
                 memcached::write_status(&mut out, opcode as u8, opaque, Status::Ok);
                 vec![out.into()]
             }
-            FinalResponse::Value(value) if value.len() <= MAX_ARGUMENT => {
+            FinalResponse::Value(value) if value.len() <= MAX_ARGUMENT_BYTES => {
                 let header = read_response_header(opcode, opaque, key);
-                let mut out = Vec::with_capacity(memcached::HEADER + 4 + key.len() + value.len());
+                let mut out =
+                    Vec::with_capacity(memcached::HEADER_BYTES + 4 + key.len() + value.len());
                 memcached::write_response_header(&mut out, &header, value.len());
                 out.extend_from_slice(&value);
                 vec![out.into()]
--- a/crates/node/src/upstream/request.rs
+++ b/crates/node/src/upstream/request.rs
@@ -1,8 +1,8 @@
 //! Encodes requests for cache servers in RESP2 or the memcached binary protocol. The module holds no state.
 
 use bytes::Bytes;
-use sloewick_codec::memcached::{self, write_request, Opcode, HEADER, MAX_KEY};
-use sloewick_codec::resp2::{write_bulk, write_header, MAX_ARGUMENT};
+use sloewick_codec::memcached::{self, write_request, Opcode, HEADER_BYTES, MAX_KEY_BYTES};
+use sloewick_codec::resp2::{write_bulk, write_header, MAX_ARGUMENT_BYTES};
 use sloewick_decision::api::Micros;
 
 use crate::frontend::response::RequestProtocol;
@@ -29,7 +29,7 @@
     }
     let chunks = match &request.value {
         None => vec![out.into()],
-        Some(value) if value.len() <= MAX_ARGUMENT => {
+        Some(value) if value.len() <= MAX_ARGUMENT_BYTES => {
             write_bulk(&mut out, value);
             vec![out.into()]
         }
@@ -67,7 +67,7 @@
 pub(crate) fn fits_memcached(request: &PendingRequest) -> bool {
     let is_encodable =
         |key: &[u8]| !key.is_empty() && key != NO_IDEMPOTENCY_KEY && !key.contains(&b':');
-    request.cache_key.len() <= MAX_KEY && idempotency_key(request).is_none_or(is_encodable)
+    request.cache_key.len() <= MAX_KEY_BYTES && idempotency_key(request).is_none_or(is_encodable)
 }
 
 /// The idempotency key in the fields of a request; None if it has none.
@@ -93,7 +93,7 @@
 
 fn encode_memcached_get(request: &PendingRequest, opaque: u32) -> EncodedRequest {
     let opcode = Opcode::Get as u8;
-    let mut out = Vec::with_capacity(HEADER + request.cache_key.len());
+    let mut out = Vec::with_capacity(HEADER_BYTES + request.cache_key.len());
     write_request(
         &mut out,
         &memcached::Request {
@@ -120,11 +120,11 @@
         ..memcached::Request::default()
     };
     let prefix = idempotency_key.len() + 1;
-    let mut out = Vec::with_capacity(HEADER + 8 + request.cache_key.len() + prefix);
+    let mut out = Vec::with_capacity(HEADER_BYTES + 8 + request.cache_key.len() + prefix);
     memcached::write_request_header(&mut out, &header, prefix + value.len());
     out.extend_from_slice(idempotency_key);
     out.push(b':');
-    let chunks = if value.len() <= MAX_ARGUMENT {
+    let chunks = if value.len() <= MAX_ARGUMENT_BYTES {
         out.extend_from_slice(value);
         vec![out.into()]
     } else {
--- a/crates/node/src/upstream/response_reader.rs
+++ b/crates/node/src/upstream/response_reader.rs
@@ -2,13 +2,13 @@
 
 use bytes::{Bytes, BytesMut};
 use sloewick_codec::memcached::{self, Response};
-use sloewick_codec::resp2::{DecodeEvent, Reply, ReplyReader, MAX_VALUE};
+use sloewick_codec::resp2::{DecodeEvent, Reply, ReplyReader, MAX_VALUE_BYTES};
 use thiserror::Error;
 
 use crate::frontend::response::Protocol;
 
 /// Longest body of a memcached response in bytes: a value with its key and flags.
-const MAX_BODY: usize = MAX_VALUE + 1024;
+const MAX_BODY: usize = MAX_VALUE_BYTES + 1024;
 
 /// The fields of a memcached request that its response repeats; zero in RESP2.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/testbed/src/emulators/cache_server/requests.rs
+++ b/crates/testbed/src/emulators/cache_server/requests.rs
@@ -134,7 +134,7 @@
 
     pub(super) fn request(&mut self, conn: usize, r: &memcached::Request, first_byte: Micros) {
         let key = std::str::from_utf8(&r.key).unwrap_or_default();
-        let plain = r.fault.is_none() && r.cas == 0 && r.extras.iter().all(|b| *b == 0);
+        let plain = r.error_status.is_none() && r.cas == 0 && r.extras.iter().all(|b| *b == 0);
         let (write, idempotency_key) = match Opcode::from_code(r.opcode).filter(|_| plain) {
             Some(Opcode::Get) => (false, None),
             Some(Opcode::Noop) => {
@@ -171,7 +171,7 @@
     }
 
     pub(super) fn command(&mut self, conn: usize, command: &Command, first_byte: Micros) {
-        let words = &command.words;
+        let words = &command.arguments;
         let text = |i: usize| {
             words
                 .get(i)
--- a/crates/testbed/src/emulators/origin.rs
+++ b/crates/testbed/src/emulators/origin.rs
@@ -289,7 +289,7 @@
         let mut buf = BytesMut::new();
         std::mem::swap(&mut buf, &mut line.buf);
         while let Ok(Some(command)) = reader.next(&mut buf, &mut ByteBudget::new(0)) {
-            commands.push(command.words);
+            commands.push(command.arguments);
         }
         line.buf = buf;
         for words in commands {
--- a/crates/testbed/src/faults/parse.rs
+++ b/crates/testbed/src/faults/parse.rs
@@ -74,7 +74,7 @@
 }
 
 fn number(value: &Spanned<DeValue<'_>>) -> Option<f64> {
-    sloewick_toml_config::number(value.get_ref())
+    sloewick_toml_config::finite_number(value.get_ref())
 }
 
 fn shown(value: &Spanned<DeValue<'_>>) -> String {
--- a/crates/testbed/tests/memcached.rs
+++ b/crates/testbed/tests/memcached.rs
@@ -190,7 +190,7 @@
         .next(&mut buf, &mut ByteBudget::new(1 << 20), 1 << 20)
         .unwrap()
     {
-        assert_eq!(r.fault, None);
+        assert_eq!(r.error_status, None);
         let text = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
         out.push((r.opcode, r.opaque, text(&r.key), text(&r.value)));
     }
--- a/crates/toml_config/src/lib.rs
+++ b/crates/toml_config/src/lib.rs
@@ -94,7 +94,7 @@
 }
 
 /// The value of an integer or a finite float; `None` for anything else.
-pub fn number(value: &DeValue<'_>) -> Option<f64> {
+pub fn finite_number(value: &DeValue<'_>) -> Option<f64> {
     let text = match value {
         DeValue::Integer(number) => number.as_str(),
         DeValue::Float(number) => number.as_str(),
@@ -221,7 +221,7 @@
         let allowed = format!("a whole number from {} to {}", bounds.start(), bounds.end());
         self.read_field(section, name, &allowed, default, |value| {
             let representable = 0.0..=f64::from(u32::MAX);
-            number(value)
+            finite_number(value)
                 .filter(|number| number.fract() == 0.0 && representable.contains(number))
                 .map(|number| number as u32)
                 .filter(|number| bounds.contains(number))
