--- a/crates/memcached/src/config_tests.rs
+++ b/crates/memcached/src/config_tests.rs
@@ -5,7 +5,7 @@
 fn parse_config(text: &str) -> Result<MemcachedConfig, Vec<String>> {
     let node_config = include_str!("../../../examples/node.json");
     let json: serde_json::Value = serde_json::from_str(node_config).unwrap();
-    let object = Fields::of(&json["settings"], "settings").unwrap();
+    let object = Fields::from_value(&json["settings"], "settings").unwrap();
     let (settings, names) = settings::parse(&object).unwrap();
     parse(text, &names, &settings.classes, 64 << 20)
         .map_err(|list| list.iter().map(ToString::to_string).collect())
@@ -29,7 +29,7 @@
 fn config_with_cache_server_models_only_needs_no_listener() {
     let config = parse_config("[[box]]\nmodel = \"new\"\nprotocol = \"memcached\"\n").unwrap();
     assert_eq!(
-        (config.listen, config.models),
+        (config.listen, config.cache_server_models),
         (None, vec!["new".to_string()])
     );
 }
--- a/crates/node/src/event_loop/clients.rs
+++ b/crates/node/src/event_loop/clients.rs
@@ -111,7 +111,7 @@
         command: &Command,
         now: Micros,
     ) -> Option<Bytes> {
-        let words = &command.words;
+        let words = &command.arguments;
         let request = match parse_command(words, &self.engine.names) {
             Ok(ParsedCommand::Ping(text)) => {
                 return Some(encode_pong(text.as_ref(), self.lifecycle.answers_ping()));
@@ -122,7 +122,7 @@
         if self.requests.key_of(&request.id).is_some() {
             return Some(CommandError::IdInUse.encode());
         }
-        if command.dropped || self.rejects_requests(client, now) {
+        if command.value_discarded || self.rejects_requests(client, now) {
             self.admin
                 .metrics
                 .count(request.class, &FinalResponse::Busy(0));
@@ -131,7 +131,7 @@
         let parsed = ParsedRequest {
             protocol: RequestProtocol::Resp2,
             keyed: None,
-            key: words[1].clone(),
+            cache_key: words[1].clone(),
             fields: words[3].clone(),
             value: words.get(4).cloned(),
             reserved: command.reserved,
@@ -219,7 +219,11 @@
         self.requests.close(key);
         let now = self.io.now();
         self.upstreams.abandon(connection, now);
-        self.end_attempt(key, stream.attempt, AttemptResult::of(Status::Cancelled));
+        self.end_attempt(
+            key,
+            stream.attempt,
+            AttemptResult::with_status(Status::Cancelled),
+        );
     }
 
     /// Serves the clients that were marked as dirty: writes their responses and reads their requests.
@@ -237,7 +241,7 @@
             }
             self.stream_value(key);
             self.read_client(key);
-            if self.lifecycle.is_closing_clients() {
+            if self.lifecycle.closes_clients() {
                 self.close_idle_client(key, now);
             }
             let Some(client) = self.frontends.clients.get_mut(key) else {
--- a/crates/node/src/event_loop/memcached_requests.rs
+++ b/crates/node/src/event_loop/memcached_requests.rs
@@ -29,7 +29,7 @@
             return self.respond_at_once(client, vec![out.into()], reserved);
         };
         let protocol = RequestProtocol::Memcached { opcode, opaque };
-        let chunks = match (request.fault, opcode.without_quiet()) {
+        let chunks = match (request.error_status, opcode.without_quiet()) {
             // No memory for its value: rejected before anything else is checked. Nothing of it has run, so a retry is harmless.
             (Some(Status::OutOfMemory), _) => protocol.encode(&request.key, FinalResponse::Busy(0)),
             (Some(status), _) => protocol.encode_status(status, None),
@@ -90,7 +90,7 @@
     ) -> Result<(), Rejection> {
         let context = RoutingContext {
             now,
-            unix_time: self.io.net.unix_time_at_start() + now,
+            unix_time: self.io.transport.unix_time_at_start() + now,
             is_rejecting: self.rejects_requests(client, now),
         };
         let Some(frontend) = &mut self.frontends.memcached else {
@@ -102,7 +102,7 @@
             id: frontend.request_id(self.serials.next(), opaque).into(),
             class: routed.class,
             tenant: routed.tenant,
-            retry: routed.is_retry(),
+            is_client_retry: routed.is_retry(),
             key: Some(routed.key),
             budget: routed.deadline,
             work: None,
@@ -112,7 +112,7 @@
         let parsed = ParsedRequest {
             protocol: RequestProtocol::Memcached { opcode, opaque },
             keyed: routed.keyed,
-            key: request.key,
+            cache_key: request.key,
             fields: routed.fields.into(),
             value: routed.write.then_some(request.value),
             reserved: request.reserved,
--- a/crates/testbed/src/emulators/cache_server/requests.rs
+++ b/crates/testbed/src/emulators/cache_server/requests.rs
@@ -144,7 +144,7 @@
         first_byte: Micros,
     ) {
         let key = std::str::from_utf8(&r.key).unwrap_or_default();
-        let is_plain = r.fault.is_none() && r.cas == 0 && r.extras.iter().all(|b| *b == 0);
+        let is_plain = r.error_status.is_none() && r.cas == 0 && r.extras.iter().all(|b| *b == 0);
         let (write, idempotency_key) = match Opcode::from_code(r.opcode).filter(|_| is_plain) {
             Some(Opcode::Get) => (false, None),
             Some(Opcode::Noop) => {
@@ -182,7 +182,7 @@
     }
 
     pub(super) fn handle_command(&mut self, conn: usize, command: &Command, first_byte: Micros) {
-        let words = &command.words;
+        let words = &command.arguments;
         let text = |i: usize| {
             words
                 .get(i)
--- a/crates/testbed/src/emulators/origin.rs
+++ b/crates/testbed/src/emulators/origin.rs
@@ -313,7 +313,7 @@
         let mut buf = BytesMut::new();
         std::mem::swap(&mut buf, &mut port_connection.buf);
         while let Ok(Some(command)) = reader.next(&mut buf, &mut ByteBudget::new(0)) {
-            commands.push(command.words);
+            commands.push(command.arguments);
         }
         port_connection.buf = buf;
         for words in commands {
--- a/crates/testbed/tests/memcached.rs
+++ b/crates/testbed/tests/memcached.rs
@@ -190,7 +190,7 @@
         .next(&mut buf, &mut ByteBudget::new(1 << 20), 1 << 20)
         .unwrap()
     {
-        assert_eq!(r.fault, None);
+        assert_eq!(r.error_status, None);
         let text = |b: &[u8]| String::from_utf8_lossy(b).into_owned();
         out.push((r.opcode, r.opaque, text(&r.key), text(&r.value)));
     }
@@ -973,7 +973,7 @@
             (41, &[known]),
         );
         let mut config = config::parse(&text).unwrap();
-        config::memcached(&mut config, &site::memcached_file(None)).unwrap();
+        config::enable_memcached(&mut config, &site::memcached_file(None)).unwrap();
         let host = hosts.world.borrow_mut().host("node", 0, site::SOCKETS);
         hosts.world.borrow_mut().address(host, address(9, 80));
         let seen = Rc::new(RefCell::new(Vec::new()));
