--- a/crates/decision/src/api.rs
+++ b/crates/decision/src/api.rs
@@ -146,7 +146,7 @@
     /// See `overload_multiple`.
     pub overload_window: Micros,
     /// Time after the client's deadline within which a final response still counts.
-    pub answer_slack: Micros,
+    pub final_response_grace: Micros,
     /// Cost of a request that crosses zones, as a fraction of the service.
     pub price_cross_zone: f64,
     /// Cost of an origin fetch for each request, as a fraction of the service.
--- a/crates/decision/src/settings.rs
+++ b/crates/decision/src/settings.rs
@@ -466,7 +466,7 @@
         warm_up_time: rules.micros("cold")?,
         overload_multiple: rules.number("fall_multiple")?,
         overload_window: rules.micros("fall")?,
-        answer_slack: rules.micros("grace_to_answer")?,
+        final_response_grace: rules.micros("grace_to_answer")?,
         price_cross_zone: prices.number_or("cross_zone", 0.0)?,
         price_origin: prices.number_or("origin", 0.0)?,
     };
--- a/crates/decision/src/settings_validation.rs
+++ b/crates/decision/src/settings_validation.rs
@@ -30,7 +30,7 @@
         if self.max_attempts == 0 {
             return invalid("max_attempts", "must be at least one");
         }
-        if self.tick < 0 || self.answer_slack < 0 || self.drain_grace < 0 {
+        if self.tick < 0 || self.final_response_grace < 0 || self.drain_grace < 0 {
             return invalid("tick, answer_slack, drain_grace", "must not be negative");
         }
         if self.poll_endpoint_list && self.poll_within <= 0 {
--- a/crates/decision/tests/rules.rs
+++ b/crates/decision/tests/rules.rs
@@ -247,7 +247,9 @@
             assert!(
                 request.closed
                     || self.now
-                        <= request.deadline + self.settings.answer_slack + self.settings.tick,
+                        <= request.deadline
+                            + self.settings.final_response_grace
+                            + self.settings.tick,
                 "no final response to {id} at {}, deadline {}",
                 self.now,
                 request.deadline
@@ -374,7 +376,7 @@
             "final response to {request}, which has ended"
         );
         assert!(
-            self.now <= record.deadline + self.settings.answer_slack,
+            self.now <= record.deadline + self.settings.final_response_grace,
             "final response to {request} at {}, deadline {}",
             self.now,
             record.deadline
--- a/crates/fleet_model/src/site.rs
+++ b/crates/fleet_model/src/site.rs
@@ -198,7 +198,7 @@
             warm_up_time: 20_000_000,
             overload_multiple: 2.5,
             overload_window: 2_000_000,
-            answer_slack: 8_000,
+            final_response_grace: 8_000,
             price_cross_zone: 0.0,
             price_origin: 0.0,
         }
--- a/crates/node/src/admin/handlers.rs
+++ b/crates/node/src/admin/handlers.rs
@@ -26,7 +26,7 @@
 
 impl<S: Stream, M: DecisionEngine> GaugeSources<'_, S, M> {
     fn read(&self, now: Micros) -> Gauges {
-        let decision = &self.engine.decision;
+        let decision = &self.engine.engine;
         let servers = || self.upstreams.servers();
         Gauges {
             sends: self.upstreams.attempts_written,
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -9,7 +9,7 @@
 use sloewick_codec::http1::{self, RequestError};
 use sloewick_decision::api::Micros;
 
-use crate::transport::{fill, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue};
+use crate::transport::{read_into, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue};
 
 /// Maximum number of open connections. A further connection replaces the oldest one that has been answered or, if there is
 /// none, the oldest one without a complete request.
@@ -217,7 +217,7 @@
     /// client, until the connection exceeds its time limit.
     fn read(&mut self, scratch: &mut [u8]) -> bool {
         for _ in 0..MAX_READS_PER_EVENT {
-            match fill(&mut self.stream, &mut self.input, scratch) {
+            match read_into(&mut self.stream, &mut self.input, scratch) {
                 ReadOutcome::Closed | ReadOutcome::Failed => return true,
                 ReadOutcome::Empty => return false,
                 ReadOutcome::More if self.answered_at.is_some() => {
--- a/crates/node/src/discovery/client.rs
+++ b/crates/node/src/discovery/client.rs
@@ -29,7 +29,7 @@
 };
 use crate::discovery::schedule::{connect_timeout, response_timeout, PollSchedule, WatchStage};
 use crate::timers::{TimerEvent, Timers};
-use crate::transport::{fill, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue};
+use crate::transport::{read_into, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue};
 
 /// Delay of the next request after a request that was answered within this time without a change, which prevents a busy
 /// loop. The first delay is below the 200 ms within which a watch continues; it doubles with each further such response.
@@ -214,7 +214,7 @@
         let mut input_ended = false;
         let was_empty = pending.read_buffer.is_empty();
         loop {
-            match fill(&mut pending.stream, &mut pending.read_buffer, scratch) {
+            match read_into(&mut pending.stream, &mut pending.read_buffer, scratch) {
                 ReadOutcome::Closed => input_ended = true,
                 ReadOutcome::Failed => has_failed = true,
                 ReadOutcome::Empty => {}
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -91,7 +91,7 @@
 
 /// The decision engine with the queue of its input events, its trace, and the names of the classes, tenants and zones.
 pub(crate) struct EngineQueue<M> {
-    pub(crate) decision: M,
+    pub(crate) engine: M,
     pub(crate) names: Names,
     pub(crate) trace: Trace,
     events: VecDeque<Event>,
@@ -100,9 +100,9 @@
 }
 
 impl<M: DecisionEngine> EngineQueue<M> {
-    pub(crate) fn new(decision: M, names: Names, trace: Trace) -> EngineQueue<M> {
+    pub(crate) fn new(engine: M, names: Names, trace: Trace) -> EngineQueue<M> {
         EngineQueue {
-            decision,
+            engine,
             names,
             trace,
             events: VecDeque::new(),
@@ -129,14 +129,14 @@
     ) -> Vec<Action> {
         let mut actions = std::mem::take(&mut self.actions);
         self.trace.event(net, &event);
-        self.decision.handle(now, event, &mut actions);
+        self.engine.handle(now, event, &mut actions);
         actions
     }
 
     /// Writes an action to the trace, with the reason of the decision that led to it.
     pub(crate) fn trace_action<N: Transport>(&self, net: &mut N, action: &Action) {
         self.trace
-            .action(net, action, self.decision.decision_reason());
+            .action(net, action, self.engine.decision_reason());
     }
 
     /// Takes back the buffer of [`EngineQueue::handle`], which the caller has emptied, for the next event.
--- a/crates/node/src/event_loop.rs
+++ b/crates/node/src/event_loop.rs
@@ -87,7 +87,7 @@
     /// # Errors
     /// The system's error if polling fails.
     pub fn run(mut self) -> io::Result<()> {
-        while let Some(until) = self.prepare() {
+        while let Some(until) = self.process_pending() {
             let wait = (until - self.io.now()).max(0);
             self.run_once(if self.requests.is_empty() {
                 wait
@@ -100,7 +100,7 @@
 
     /// Does all work that needs no new events. Returns the time until which the event loop may wait for events, or `None` if
     /// the node has stopped.
-    pub fn prepare(&mut self) -> Option<Micros> {
+    pub fn process_pending(&mut self) -> Option<Micros> {
         self.handle_engine_events();
         self.flush_clients();
         if self.advance_shutdown() {
@@ -220,7 +220,7 @@
                 self.force_final_responses();
                 self.sweep_clients(now);
             }
-            // The timer only ends the wait for events: the next call of `prepare` finds that the node has stopped.
+            // The timer only ends the wait for events: the next call of `process_pending` finds that the node has stopped.
             TimerEvent::Exit => {}
             TimerEvent::Upstream { connection, serial } => {
                 self.upstreams.timer_expired(connection, serial);
@@ -239,7 +239,7 @@
     /// Checks everything that has no timer of its own, and sets the timer for the next sweep.
     fn sweep(&mut self, now: Micros) {
         self.timers.set(now + SWEEP_INTERVAL, TimerEvent::Sweep);
-        let decision = &self.engine.decision;
+        let decision = &self.engine.engine;
         self.admin
             .log_outliers(&self.upstreams, decision, &mut self.io);
         let is_overloaded = decision.origin_overloaded(now);
--- a/crates/node/src/event_loop/admin.rs
+++ b/crates/node/src/event_loop/admin.rs
@@ -40,6 +40,6 @@
         let Some(hot_restart) = hot_restart.filter(|_| self.lifecycle.saves_snapshots(now)) else {
             return;
         };
-        hot_restart.save(now, &mut self.io, &self.engine.decision);
+        hot_restart.save(now, &mut self.io, &self.engine.engine);
     }
 }
--- a/crates/node/src/event_loop/attempts.rs
+++ b/crates/node/src/event_loop/attempts.rs
@@ -114,7 +114,7 @@
                 || !self.upstreams.is_current(connection)
                 || !self
                     .engine
-                    .decision
+                    .engine
                     .may_start_attempt(now, &request.id, attempt)
             {
                 self.abandon_attempt(key, attempt, Status::NotSent);
--- a/crates/node/src/event_loop/disconnects_tests.rs
+++ b/crates/node/src/event_loop/disconnects_tests.rs
@@ -110,7 +110,7 @@
         state.now
     }
 
-    fn machine_time(&self) -> Micros {
+    fn monotonic_time(&self) -> Micros {
         self.now()
     }
 
@@ -214,7 +214,7 @@
     )
     .unwrap();
     let run_round = |node: &mut Node<SlowTransport>| {
-        let due = node.prepare().unwrap();
+        let due = node.process_pending().unwrap();
         let wait = (due - network.borrow().now).clamp(0, 1000);
         node.run_once(wait).unwrap();
     };
--- a/crates/node/src/event_loop/start.rs
+++ b/crates/node/src/event_loop/start.rs
@@ -113,7 +113,7 @@
 
     fn restore_snapshot(&mut self) {
         if let Some(hot_restart) = &self.hot_restart {
-            hot_restart.restore(&mut self.io, &mut self.engine.decision);
+            hot_restart.restore(&mut self.io, &mut self.engine.engine);
         }
     }
 }
@@ -142,7 +142,7 @@
 ) -> io::Result<Vec<Listener<N::Listener>>> {
     let socket = match config.inherited_listener_fd {
         Some(fd) => net
-            .inherit(fd, RESP2_LISTENER)
+            .listen_inherited(fd, RESP2_LISTENER)
             .map_err(|e| io::Error::new(e.kind(), format!("inherited descriptor {fd}: {e}")))?,
         None => net.listen(config.listen, RESP2_LISTENER)?,
     };
--- a/crates/node/src/frontend/connection.rs
+++ b/crates/node/src/frontend/connection.rs
@@ -10,7 +10,7 @@
 use sloewick_decision::api::Micros;
 
 use crate::frontend::response::Protocol;
-use crate::transport::{fill, is_buffer_shortage, ReadOutcome, Stream, WriteQueue};
+use crate::transport::{is_buffer_shortage, read_into, ReadOutcome, Stream, WriteQueue};
 use sloewick_codec::memcached::{self, ErrorResponse, RequestReader};
 use sloewick_codec::resp2::{ByteBudget, Command, CommandReader};
 
@@ -278,7 +278,7 @@
 
     /// Reads from the socket once. Returns false if no new bytes were read.
     fn read_socket(&mut self, now: Micros, scratch: &mut [u8]) -> bool {
-        match fill(&mut self.stream, &mut self.buf, scratch) {
+        match read_into(&mut self.stream, &mut self.buf, scratch) {
             ReadOutcome::More => true,
             ReadOutcome::Empty => {
                 self.unread = false;
@@ -448,7 +448,7 @@
 
     fn discard_input(&mut self, scratch: &mut [u8]) {
         while self.unread {
-            match fill(&mut self.stream, &mut self.buf, scratch) {
+            match read_into(&mut self.stream, &mut self.buf, scratch) {
                 ReadOutcome::More => self.buf.clear(),
                 ReadOutcome::Empty => self.unread = false,
                 ReadOutcome::Closed | ReadOutcome::Failed => {
--- a/crates/node/src/hot_restart.rs
+++ b/crates/node/src/hot_restart.rs
@@ -69,10 +69,10 @@
         decision: &mut M,
     ) {
         let now = io.transport.now();
-        let machine_time = io.transport.machine_time();
+        let monotonic_time = io.transport.monotonic_time();
         let restored = match io.transport.load_snapshot() {
             Ok(None) => return,
-            Ok(Some(snapshot)) => unpack(&self.owner, machine_time, &snapshot),
+            Ok(Some(snapshot)) => unpack(&self.owner, monotonic_time, &snapshot),
             Err(e) => Err(e.into()),
         };
         let line = match restored {
@@ -106,8 +106,8 @@
         let Ok(payload) = postcard::to_stdvec(&checkpoint) else {
             return;
         };
-        let machine_time = io.transport.machine_time();
-        let Ok(snapshot) = encode(&self.owner, VERSION, machine_time, &payload) else {
+        let monotonic_time = io.transport.monotonic_time();
+        let Ok(snapshot) = encode(&self.owner, VERSION, monotonic_time, &payload) else {
             return;
         };
         if let SnapshotSave::Failed(reason) = io.transport.save_snapshot(snapshot) {
@@ -124,10 +124,10 @@
     age: Micros,
 }
 
-/// Decodes and validates the checkpoint in a snapshot, and computes its age at `machine_time`.
+/// Decodes and validates the checkpoint in a snapshot, and computes its age at `monotonic_time`.
 fn unpack(
     owner: &str,
-    machine_time: Micros,
+    monotonic_time: Micros,
     snapshot: &[u8],
 ) -> Result<AgedCheckpoint, RestoreError> {
     let expected = Requirements {
@@ -136,7 +136,7 @@
         max_age: MAX_AGE,
     };
     let Snapshot { payload, age } =
-        decode(&expected, machine_time, snapshot).map_err(RestoreError::Snapshot)?;
+        decode(&expected, monotonic_time, snapshot).map_err(RestoreError::Snapshot)?;
     let checkpoint: Checkpoint = postcard::from_bytes(payload)?;
     let checkpoint = checkpoint.validated().ok_or(RestoreError::Invalid)?;
     Ok(AgedCheckpoint { checkpoint, age })
--- a/crates/node/src/io.rs
+++ b/crates/node/src/io.rs
@@ -30,6 +30,6 @@
 
     /// Writes a log line, unless the limit per second is reached.
     pub(crate) fn log(&mut self, text: &str) {
-        self.log.line(&mut self.transport, text);
+        self.log.write_line(&mut self.transport, text);
     }
 }
--- a/crates/node/src/mio_transport.rs
+++ b/crates/node/src/mio_transport.rs
@@ -18,7 +18,7 @@
 
 use crate::startup_retry::retry_transient;
 use crate::transport::{
-    PendingSignals, ReadyEvent, SnapshotSave, Stream, Token, Transport, SIGNALS,
+    PendingSignals, ReadyEvent, SnapshotSave, Stream, Token, Transport, SIGNALS_TOKEN,
 };
 
 /// Length of the accept queue of a listener.
@@ -113,12 +113,12 @@
     /// # Errors
     /// Returns the operating system's error if it has no resources for a poll or for the signal handlers.
     pub fn with_signals() -> io::Result<MioTransport> {
-        let mut transport = MioTransport::new()?;
+        let mut transport = MioTransport::without_signals()?;
         transport.signals.register_handlers()?;
         let registry = transport.poll.registry();
         let signal_waker = retry_transient(|| {
             let mut signals = Signals::new([SIGHUP, SIGTERM, SIGINT])?;
-            registry.register(&mut signals, mio::Token(SIGNALS), Interest::READABLE)?;
+            registry.register(&mut signals, mio::Token(SIGNALS_TOKEN), Interest::READABLE)?;
             Ok(signals)
         })?;
         transport.signal_waker = Some(signal_waker);
@@ -141,11 +141,11 @@
     ///
     /// # Errors
     /// Returns the operating system's error if it has no resources for a poll.
-    pub fn remote(signals: Arc<SignalFlags>) -> io::Result<MioTransport> {
+    pub fn with_external_signals(signals: Arc<SignalFlags>) -> io::Result<MioTransport> {
         Ok(MioTransport {
             signals,
             is_log_disabled: true,
-            ..MioTransport::new()?
+            ..MioTransport::without_signals()?
         })
     }
 
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     /// Returns the operating system's error if it has no resources for a poll.
-    pub fn new() -> io::Result<MioTransport> {
+    pub fn without_signals() -> io::Result<MioTransport> {
         let unix_time_at_start = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .map_or(0, |d| d.as_micros() as i64);
@@ -265,7 +265,7 @@
 
 /// The event that reports pending signals.
 const SIGNALS_READY: ReadyEvent = ReadyEvent {
-    token: SIGNALS,
+    token: SIGNALS_TOKEN,
     readable: true,
     writable: false,
     read_closed: false,
@@ -290,7 +290,7 @@
         self.started.elapsed().as_micros() as Micros
     }
 
-    fn machine_time(&self) -> Micros {
+    fn monotonic_time(&self) -> Micros {
         let time = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
         time.tv_sec * MICROS_PER_SECOND + time.tv_nsec / NANOS_PER_MICRO
     }
@@ -308,7 +308,7 @@
         self.register_listener(token, || open_listener(at))
     }
 
-    fn inherit(&mut self, fd: i32, token: Token) -> io::Result<TcpListener> {
+    fn listen_inherited(&mut self, fd: i32, token: Token) -> io::Result<TcpListener> {
         self.register_listener(token, || duplicate_listener(fd))
     }
 
--- a/crates/node/src/test_support.rs
+++ b/crates/node/src/test_support.rs
@@ -116,7 +116,7 @@
         self.now
     }
 
-    fn machine_time(&self) -> Micros {
+    fn monotonic_time(&self) -> Micros {
         self.now()
     }
 
--- a/crates/node/src/tokens.rs
+++ b/crates/node/src/tokens.rs
@@ -4,7 +4,7 @@
 //! connections begin at [`FIRST_CONNECTION`]: client connections have even tokens, upstream connections odd ones.
 
 use crate::admin::server::MAX_ADMIN_CLIENTS;
-use crate::transport::{Token, SIGNALS};
+use crate::transport::{Token, SIGNALS_TOKEN};
 
 /// The listener for RESP2 clients.
 pub(crate) const RESP2_LISTENER: Token = 0;
@@ -41,7 +41,7 @@
     pub(crate) fn of(token: Token) -> TokenOwner {
         match token {
             RESP2_LISTENER | MEMCACHED_LISTENER => TokenOwner::ClientListener,
-            SIGNALS => TokenOwner::Signals,
+            SIGNALS_TOKEN => TokenOwner::Signals,
             DISCOVERY => TokenOwner::Discovery,
             ADMIN_LISTENER => TokenOwner::AdminListener,
             FIRST_ADMIN_CLIENT..FIRST_CONNECTION => {
--- a/crates/node/src/tokens_tests.rs
+++ b/crates/node/src/tokens_tests.rs
@@ -5,7 +5,7 @@
     for (token, owner) in [
         (RESP2_LISTENER, TokenOwner::ClientListener),
         (MEMCACHED_LISTENER, TokenOwner::ClientListener),
-        (SIGNALS, TokenOwner::Signals),
+        (SIGNALS_TOKEN, TokenOwner::Signals),
         (DISCOVERY, TokenOwner::Discovery),
         (ADMIN_LISTENER, TokenOwner::AdminListener),
     ] {
--- a/crates/node/src/transport.rs
+++ b/crates/node/src/transport.rs
@@ -18,7 +18,7 @@
 /// Identifies the connection or listener of an event; chosen by the code that opened it.
 pub type Token = usize;
 /// The token of the event that a [`Transport`] reports when signals have arrived.
-pub const SIGNALS: Token = 1;
+pub const SIGNALS_TOKEN: Token = 1;
 
 /// What has happened on a connection or listener since the last event.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -101,8 +101,8 @@
     /// Time since the process started.
     fn now(&self) -> Micros;
     /// A monotonic clock that all processes with the same [`Transport::boot_id`] share.
-    fn machine_time(&self) -> Micros;
-    /// Identifies the boot of the machine since which [`Transport::machine_time`] has run.
+    fn monotonic_time(&self) -> Micros;
+    /// Identifies the boot of the machine since which [`Transport::monotonic_time`] has run.
     fn boot_id(&self) -> String;
     /// Unix time at the start of the process, read once.
     fn unix_time_at_start(&self) -> Micros;
@@ -116,7 +116,7 @@
     /// # Errors
     /// Returns an error if the descriptor is not a listening socket; [`ErrorKind::Unsupported`] if the transport does not
     /// support inherited sockets.
-    fn inherit(&mut self, _fd: i32, _token: Token) -> io::Result<Self::Listener> {
+    fn listen_inherited(&mut self, _fd: i32, _token: Token) -> io::Result<Self::Listener> {
         Err(ErrorKind::Unsupported.into())
     }
     /// Accepts the next connection. `token`: the token of the new connection.
@@ -190,7 +190,7 @@
 
 /// Reads once and appends the bytes to `buf`. The read uses the shared scratch space, so that idle connections hold no
 /// buffer.
-pub fn fill<S: Stream>(stream: &mut S, buf: &mut BytesMut, scratch: &mut [u8]) -> ReadOutcome {
+pub fn read_into<S: Stream>(stream: &mut S, buf: &mut BytesMut, scratch: &mut [u8]) -> ReadOutcome {
     loop {
         match stream.read(scratch) {
             Ok(0) => return ReadOutcome::Closed,
@@ -282,7 +282,7 @@
 
 impl Log {
     /// Writes one line, unless the limit for this second is reached.
-    pub fn line<N: Transport>(&mut self, net: &mut N, text: &str) {
+    pub fn write_line<N: Transport>(&mut self, net: &mut N, text: &str) {
         let second = net.now() / 1_000_000;
         if second != self.second {
             (self.second, self.lines) = (second, 0);
--- a/crates/node/src/upstream/exchange.rs
+++ b/crates/node/src/upstream/exchange.rs
@@ -9,7 +9,7 @@
 use sloewick_decision::api::{Micros, Status};
 
 use crate::event_trace::ConnectionStep;
-use crate::transport::{fill, ReadOutcome, ReadyEvent, Stream, Transport, WriteQueue};
+use crate::transport::{read_into, ReadOutcome, ReadyEvent, Stream, Transport, WriteQueue};
 use crate::upstream::connection::{EncodedRequest, Exchange, UpstreamConnection};
 use crate::upstream::pool::{ProtocolError, UpstreamContext, UpstreamEvent, UpstreamPools};
 use crate::upstream::response_reader::{RequestTag, ResponsePart, ServerReply};
@@ -185,7 +185,7 @@
     /// Reads from the socket once. Returns false if the peer has closed the connection or it has failed.
     fn read_socket(&mut self, connection: usize, scratch: &mut [u8]) -> bool {
         let c = &mut self.connections[connection];
-        match fill(&mut c.stream, &mut c.read_buffer, scratch) {
+        match read_into(&mut c.stream, &mut c.read_buffer, scratch) {
             ReadOutcome::More => {}
             ReadOutcome::Empty => c.is_readable = false,
             ReadOutcome::Closed | ReadOutcome::Failed => {
--- a/crates/node/tests/nodelay.rs
+++ b/crates/node/tests/nodelay.rs
@@ -10,7 +10,7 @@
 #[test]
 fn accepted_and_opened_connections_have_nodelay_set() {
     let server = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut transport = MioTransport::new().unwrap();
+    let mut transport = MioTransport::without_signals().unwrap();
     let opened = transport.connect(server.local_addr().unwrap(), 1).unwrap();
     assert!(opened.nodelay().unwrap(), "opened");
     let started = Instant::now();
--- a/crates/testbed/src/network/mod.rs
+++ b/crates/testbed/src/network/mod.rs
@@ -19,7 +19,9 @@
 use bytes::{Buf, Bytes};
 use slab::Slab;
 use sloewick_decision::api::Micros;
-use sloewick_node::transport::{PendingSignals, ReadyEvent, Stream, Token, Transport, SIGNALS};
+use sloewick_node::transport::{
+    PendingSignals, ReadyEvent, Stream, Token, Transport, SIGNALS_TOKEN,
+};
 
 use crate::port::SendTimes;
 use crate::rng::Rng;
@@ -746,7 +748,7 @@
         w.now - w.hosts[self.host].started
     }
 
-    fn machine_time(&self) -> Micros {
+    fn monotonic_time(&self) -> Micros {
         self.world.borrow().now
     }
 
@@ -855,7 +857,7 @@
         ready.clear();
         let mut w = self.world.borrow_mut();
         if std::mem::take(&mut w.hosts[self.host].signalled) {
-            let token = SIGNALS;
+            let token = SIGNALS_TOKEN;
             ready.push(ReadyEvent {
                 token,
                 readable: true,
--- a/crates/testbed/src/port.rs
+++ b/crates/testbed/src/port.rs
@@ -9,7 +9,7 @@
 use slab::Slab;
 use sloewick_decision::api::Micros;
 use sloewick_node::transport::{
-    fill, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue,
+    read_into, ReadOutcome, ReadyEvent, Stream, Token, Transport, WriteQueue,
 };
 
 /// Most received bytes of one connection that may wait to be processed; a peer that exceeds it is treated as one
@@ -38,7 +38,7 @@
     }
 
     fn prepare(&mut self) -> Option<Micros> {
-        sloewick_node::Node::prepare(self)
+        sloewick_node::Node::process_pending(self)
     }
 }
 
@@ -411,7 +411,7 @@
             if connection.buf.is_empty() {
                 connection.since = self.net.send_time(&connection.stream).unwrap_or(unix);
             }
-            match fill(
+            match read_into(
                 &mut connection.stream,
                 &mut connection.buf,
                 &mut self.scratch,
--- a/crates/testbed/src/real_fleet/mod.rs
+++ b/crates/testbed/src/real_fleet/mod.rs
@@ -142,7 +142,7 @@
         );
         let started = ServingThread::start("discovery", move || {
             Ok(Box::new(Discovery::new(
-                MioTransport::new()?,
+                MioTransport::without_signals()?,
                 &addresses,
                 rev,
                 &list,
@@ -233,7 +233,7 @@
         let (commands, recorder) = (self.origin_commands.clone(), self.recorder.clone());
         let thread = ServingThread::start("origin", move || {
             Ok(Box::new(Origin::new(
-                MioTransport::new()?,
+                MioTransport::without_signals()?,
                 settings,
                 commands,
                 recorder,
@@ -269,7 +269,7 @@
         );
         let (commands, recorder) = (self.clients_commands.clone(), self.recorder.clone());
         let thread = ServingThread::start("clients", move || {
-            let net = MioTransport::new()?;
+            let net = MioTransport::without_signals()?;
             Ok(Box::new(ClientPool::new(net, settings, commands, recorder)))
         })?;
         self.emulator_threads.push(thread);
@@ -283,7 +283,7 @@
     ) -> io::Result<()> {
         let (commands, recorder) = (self.clients_commands.clone(), self.recorder.clone());
         let thread = ServingThread::start("clients", move || {
-            let net = MioTransport::new()?;
+            let net = MioTransport::without_signals()?;
             let clients = PersistentClients::new(net, settings, commands, recorder);
             Ok(Box::new(clients))
         })?;
@@ -297,7 +297,7 @@
         let (commands, recorder) = (self.misbehaving_commands.clone(), self.recorder.clone());
         let seed = self.seed;
         let thread = ServingThread::start("misbehaving", move || {
-            let net = MioTransport::new()?;
+            let net = MioTransport::without_signals()?;
             let clients =
                 MisbehavingClients::new(net, addresses, memcached, seed, commands, recorder);
             Ok(Box::new(clients))
@@ -311,7 +311,7 @@
         let (addresses, commands) = (self.addresses(), self.idle_commands.clone());
         let thread = ServingThread::start("idle", move || {
             Ok(Box::new(Idle::new(
-                MioTransport::new()?,
+                MioTransport::without_signals()?,
                 addresses,
                 commands,
             )))
@@ -464,7 +464,7 @@
         let (commands, recorder) = (command_queue.clone(), self.recorder.clone());
         let started = ServingThread::start(&format!("box-{number}"), move || {
             Ok(Box::new(CacheServer::new(
-                MioTransport::new()?,
+                MioTransport::without_signals()?,
                 settings,
                 commands,
                 recorder,
@@ -639,7 +639,7 @@
             });
             Ok(Box::new(Node::new(
                 config,
-                MioTransport::remote(node_signals)?,
+                MioTransport::with_external_signals(node_signals)?,
                 source,
             )?))
         });
