--- a/crates/sloewick/src/demo.rs
+++ b/crates/sloewick/src/demo.rs
@@ -101,11 +101,11 @@
         second += 1;
         play_second(&mut demo, second, args.json);
     }
-    demo.go_on(OUTCOME_DELAY);
+    demo.run_for(OUTCOME_DELAY);
     // Clients go on sending after an interrupt, so the time in which outcomes were awaited counts too, up to the planned
     // end.
     let seconds = (demo.now() as f64 / 1e6).min(scenario.seconds);
-    let (checker, report) = demo.end();
+    let (checker, report) = demo.shut_down();
     if args.json {
         print_json_summary(&checker, &report, seconds);
     } else {
@@ -156,7 +156,7 @@
 
 /// The fault with this name, starting after a third of the run (`third`, in seconds).
 fn fault(name: &str, third: f64) -> Result<Fault, DemoError> {
-    let playable = || FAULTS.iter().filter(|spec| spec.real);
+    let playable = || FAULTS.iter().filter(|spec| spec.supports_real_sockets);
     let Some(spec) = playable().find(|spec| spec.name == name) else {
         let allowed: Vec<_> = playable().map(|spec| spec.name).collect();
         return Err(DemoError::UnknownFault {
@@ -170,16 +170,16 @@
         .fields
         .iter()
         .filter(|(field, _)| ["for", "back", "over"].contains(field));
-    let mut set = Vec::new();
+    let mut values = Vec::new();
     for (field, kind) in durations {
         if let FieldKind::Number { default, .. } = kind {
-            set.push((*field, FieldValue::Number(default.min(third))));
+            values.push((*field, FieldValue::Number(default.min(third))));
         }
     }
     Ok(Fault {
         at: third,
         name: spec.name,
-        set,
+        values,
     })
 }
 
@@ -200,7 +200,7 @@
 /// Runs until the end of this second of the run and prints the figures of the second before it.
 fn play_second(demo: &mut Demo, second: i64, json: bool) {
     let remaining = (second * 1_000_000 - demo.now()).max(0);
-    let announcements = demo.go_on(Duration::from_micros(remaining as u64));
+    let announcements = demo.run_for(Duration::from_micros(remaining as u64));
     // Prints figures of the previous second, since outcomes of the last requests of this one are still pending.
     let mut span = demo.report.between(second - 2, second - 1);
     if json {
--- a/crates/sloewick/src/play.rs
+++ b/crates/sloewick/src/play.rs
@@ -7,7 +7,7 @@
 
 use sloewick_testbed::checker::{DisconnectStatistics, Violation};
 use sloewick_testbed::faults::scenario::{self, Scenario};
-use sloewick_testbed::virtual_fleet::{self, Options, Outcome, Shown};
+use sloewick_testbed::virtual_fleet::{self, LogEntry, Options, Outcome};
 use thiserror::Error;
 
 use crate::exit_code;
@@ -108,7 +108,7 @@
     for spec in scenario::FAULTS {
         print_line(format!("  {:20} {}", spec.name, spec.about));
         for (name, kind) in spec.fields {
-            print_line(format!("      {name}: {}", scenario::allowed(kind)));
+            print_line(format!("      {name}: {}", scenario::allowed_values(kind)));
         }
     }
 }
@@ -257,9 +257,9 @@
         ..Options::default()
     };
     if args.log {
-        options.watch = Some(Box::new(|shown| match shown {
-            Shown::Observation(observation) => print_line(observation.to_string()),
-            Shown::Logged(line) => print_line(format!("{line} (logged)")),
+        options.observer = Some(Box::new(|entry| match entry {
+            LogEntry::Observation(observation) => print_line(observation.to_string()),
+            LogEntry::Logged(line) => print_line(format!("{line} (logged)")),
         }));
     }
     let started = Instant::now();
@@ -296,7 +296,7 @@
 impl PlayedSeed<'_> {
     /// Virtual time of the run, in seconds.
     fn fleet_seconds(&self) -> f64 {
-        self.outcome.played as f64 / 1e6
+        self.outcome.simulated_time as f64 / 1e6
     }
 
     /// Lines for standard output.
@@ -354,7 +354,7 @@
                 total.retries,
                 total.effects,
                 total.dropped_repeats,
-                outcome.descriptors,
+                outcome.max_descriptors,
                 outcome.max_cold_load
             ),
         ]
--- a/crates/sloewick/tests/fleet.rs
+++ b/crates/sloewick/tests/fleet.rs
@@ -27,13 +27,13 @@
     let scenario = scenario::parse(text).unwrap();
     let program = Nodes::Processes(PathBuf::from(env!("CARGO_BIN_EXE_sloewick")));
     let mut demo = Demo::start(&scenario, 1, ProtocolOptions::default(), program).unwrap();
-    let announcements = demo.go_on(Duration::from_secs_f64(scenario.seconds + 2.5));
+    let announcements = demo.run_for(Duration::from_secs_f64(scenario.seconds + 2.5));
     assert_eq!(
         announcements.len(),
         scenario.faults.len(),
         "each fault begins, and nothing fails to start: {announcements:?}"
     );
-    let (checker, report) = demo.end();
+    let (checker, report) = demo.shut_down();
     let broken: Vec<String> = checker.violations.iter().map(ToString::to_string).collect();
     assert!(broken.is_empty(), "{}", broken.join("\n"));
     for second in 0..scenario.seconds as i64 {
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -75,7 +75,7 @@
     }
 
     /// Runs for this long. Returns the announcements of the fault scheduler during that time.
-    pub fn go_on(&mut self, time: Duration) -> Vec<String> {
+    pub fn run_for(&mut self, time: Duration) -> Vec<String> {
         let until = Instant::now() + time;
         while Instant::now() < until {
             let now = self.now();
@@ -140,7 +140,7 @@
     }
 
     /// Shuts down the fleet. Requests that are still unanswered at the end are violations.
-    pub fn end(mut self) -> (Checker, Report) {
+    pub fn shut_down(mut self) -> (Checker, Report) {
         for node in 0..self.fleet.nodes.len() {
             if matches!(self.fleet.nodes[node].served, Some(RunningNode::Process(_))) {
                 if self.checker.is_paused(node) {
--- a/crates/testbed/src/emulators/idle_clients.rs
+++ b/crates/testbed/src/emulators/idle_clients.rs
@@ -19,7 +19,7 @@
 const INTERVALS_UNTIL_CONNECTED: usize = 50;
 
 /// The idle clients of a site.
-pub struct Idle<N: SendTimes> {
+pub struct IdleClients<N: SendTimes> {
     port: Port<N, ()>,
     nodes: Vec<SocketAddr>,
     command_queue: CommandQueue<usize>,
@@ -34,12 +34,16 @@
     events: Vec<(usize, ConnectionEvent)>,
 }
 
-impl<N: SendTimes> Idle<N> {
+impl<N: SendTimes> IdleClients<N> {
     /// Creates the clients. Each command in `command_queue` is the number of clients at each node; 0 disconnects all.
-    pub fn new(net: N, nodes: Vec<SocketAddr>, command_queue: CommandQueue<usize>) -> Idle<N> {
+    pub fn new(
+        net: N,
+        nodes: Vec<SocketAddr>,
+        command_queue: CommandQueue<usize>,
+    ) -> IdleClients<N> {
         let open = vec![0; nodes.len()];
         let (conns, events) = (HashMap::new(), Vec::new());
-        Idle {
+        IdleClients {
             port: Port::new(net),
             nodes,
             command_queue,
@@ -77,7 +81,7 @@
     }
 }
 
-impl<N: SendTimes> Actor for Idle<N> {
+impl<N: SendTimes> Actor for IdleClients<N> {
     fn turn(&mut self, wait: Micros) -> io::Result<()> {
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
--- a/crates/testbed/src/faults/parse.rs
+++ b/crates/testbed/src/faults/parse.rs
@@ -3,7 +3,7 @@
 use toml::de::{DeArray, DeTable, DeValue};
 use toml::Spanned;
 
-use super::kinds::{allowed, spec, FaultSpec, FieldKind, FAULTS};
+use super::kinds::{allowed_values, fault_spec, FaultSpec, FieldKind, FAULTS};
 use super::scenario::{Fault, FieldValue, Scenario};
 
 /// Fields of a scenario and the values that each allows.
@@ -194,7 +194,7 @@
         errors.add(start, why);
         return None;
     };
-    let Some(spec) = value.get_ref().as_str().and_then(spec) else {
+    let Some(spec) = value.get_ref().as_str().and_then(fault_spec) else {
         let why = format!("unknown fault {}; allowed: {}", display(value), names());
         errors.add(key.span().start, why);
         return None;
@@ -202,7 +202,7 @@
     let mut fault = Fault {
         at: read_begin(start, table, spec, errors),
         name: spec.name,
-        set: Vec::new(),
+        values: Vec::new(),
     };
     for (key, value) in table {
         let name: &str = key.get_ref();
@@ -210,11 +210,11 @@
             continue;
         }
         match read_value(name, value, spec) {
-            Ok(set) => fault.set.push(set),
+            Ok(value) => fault.values.push(value),
             Err(why) => errors.add(key.span().start, why),
         }
     }
-    fault.set.sort_by_key(|(name, _)| *name);
+    fault.values.sort_by_key(|(name, _)| *name);
     Some(fault)
 }
 
@@ -260,7 +260,7 @@
         }
     };
     read.map(|read| (*name, read)).ok_or_else(|| {
-        let (fault, is, allowed) = (spec.name, display(value), allowed(kind));
+        let (fault, is, allowed) = (spec.name, display(value), allowed_values(kind));
         format!("fault {fault}: {name} is {is}; allowed: {allowed}")
     })
 }
--- a/crates/testbed/src/faults/scenario.rs
+++ b/crates/testbed/src/faults/scenario.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Write;
 
-pub use super::kinds::{allowed, spec, FaultSpec, FieldKind, FAULTS};
+pub use super::kinds::{allowed_values, fault_spec, FaultSpec, FieldKind, FAULTS};
 pub use super::parse::{parse, ScenarioError};
 pub use super::swarm::swarm;
 
@@ -25,25 +25,27 @@
     /// Name of its kind.
     pub name: &'static str,
     /// Values by field name; fields that are not in it have their defaults.
-    pub set: Vec<(&'static str, FieldValue)>,
+    pub values: Vec<(&'static str, FieldValue)>,
 }
 
 impl Fault {
     /// A fault with default values; None if there is no kind of this name.
     pub fn with_defaults(name: &str, at: f64) -> Option<Fault> {
-        spec(name).map(|s| Fault {
+        fault_spec(name).map(|s| Fault {
             at,
             name: s.name,
-            set: Vec::new(),
+            values: Vec::new(),
         })
     }
 
     /// Value of a number field, or its default; 0 if there is no such field.
     pub fn number(&self, field: &str) -> f64 {
-        if let Some((_, FieldValue::Number(n))) = self.set.iter().find(|(name, _)| *name == field) {
+        if let Some((_, FieldValue::Number(n))) =
+            self.values.iter().find(|(name, _)| *name == field)
+        {
             return *n;
         }
-        let fields = spec(self.name).map_or(&[][..], |s| s.fields);
+        let fields = fault_spec(self.name).map_or(&[][..], |s| s.fields);
         match fields.iter().find(|(name, _)| *name == field) {
             Some((_, FieldKind::Number { default, .. })) => *default,
             _ => 0.0,
@@ -52,11 +54,12 @@
 
     /// Value of a word field, or its default; empty if there is no such field.
     pub fn word(&self, field: &str) -> &'static str {
-        if let Some((_, FieldValue::Word(word))) = self.set.iter().find(|(name, _)| *name == field)
+        if let Some((_, FieldValue::Word(word))) =
+            self.values.iter().find(|(name, _)| *name == field)
         {
             return word;
         }
-        let fields = spec(self.name).map_or(&[][..], |s| s.fields);
+        let fields = fault_spec(self.name).map_or(&[][..], |s| s.fields);
         match fields.iter().find(|(name, _)| *name == field) {
             Some((_, FieldKind::Word(words))) => words.first().copied().unwrap_or(""),
             _ => "",
@@ -141,8 +144,8 @@
             "\n[[fault]]\nat = {}\nkind = {:?}\n",
             fault.at, fault.name
         );
-        for (name, set) in &fault.set {
-            let _ = match set {
+        for (name, value) in &fault.values {
+            let _ = match value {
                 FieldValue::Number(n) => writeln!(out, "{name} = {n}"),
                 FieldValue::Word(word) => writeln!(out, "{name} = {word:?}"),
             };
--- a/crates/testbed/src/faults/schedule.rs
+++ b/crates/testbed/src/faults/schedule.rs
@@ -13,7 +13,7 @@
 use crate::rng::Rng;
 
 use super::environment::FaultEnvironment;
-use super::scenario::{spec, Fault, Scenario};
+use super::scenario::{fault_spec, Fault, Scenario};
 
 /// Least and greatest time until discovery notices that a server changed, in seconds.
 pub(super) const NOTICE_DELAY: (f64, f64) = (1.5, 4.0);
@@ -243,7 +243,7 @@
 
     fn begin(&mut self, fault: &Fault, environment: &mut dyn FaultEnvironment) {
         environment.log(format!("{} begins", fault.name));
-        match spec(fault.name) {
+        match fault_spec(fault.name) {
             Some(spec) => (spec.begin)(self, fault, environment),
             None => environment.log(format!("{} is not played", fault.name)),
         }
--- a/crates/testbed/src/faults/swarm.rs
+++ b/crates/testbed/src/faults/swarm.rs
@@ -19,10 +19,10 @@
         let mut fault = Fault {
             at,
             name: spec.name,
-            set: Vec::new(),
+            values: Vec::new(),
         };
         for (name, kind) in spec.fields {
-            let set = match kind {
+            let value = match kind {
                 FieldKind::Number {
                     low, high, default, ..
                 } => {
@@ -36,9 +36,9 @@
                 }
                 FieldKind::Word(words) => FieldValue::Word(words[rng.below(words.len())]),
             };
-            fault.set.push((name, set));
+            fault.values.push((name, value));
         }
-        fault.set.sort_by_key(|(name, _)| *name);
+        fault.values.sort_by_key(|(name, _)| *name);
         faults.push(fault);
     }
     faults.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/testbed/src/network/hosts.rs
+++ b/crates/testbed/src/network/hosts.rs
@@ -6,7 +6,7 @@
 
 use sloewick_decision::api::Micros;
 
-use crate::network::{HostId, SharedWorld, VNet, World};
+use crate::network::{HostId, SharedWorld, VirtualTransport, World};
 use crate::port::Actor;
 
 struct Slot {
@@ -39,7 +39,7 @@
         }
     }
 
-    pub fn net(&self, host: HostId) -> VNet {
+    pub fn net(&self, host: HostId) -> VirtualTransport {
         World::net(&self.world, host)
     }
 
--- a/crates/testbed/src/network/mod.rs
+++ b/crates/testbed/src/network/mod.rs
@@ -252,7 +252,7 @@
     }
 
     /// Adds a machine in a zone; its process may hold this many descriptors.
-    pub fn host(&mut self, name: &str, zone: usize, max_descriptors: usize) -> HostId {
+    pub fn add_host(&mut self, name: &str, zone: usize, max_descriptors: usize) -> HostId {
         self.hosts.push(Host {
             name: name.to_string(),
             zone,
@@ -265,15 +265,15 @@
     }
 
     /// The transport of a host.
-    pub fn net(world: &SharedWorld, host: HostId) -> VNet {
-        VNet {
+    pub fn net(world: &SharedWorld, host: HostId) -> VirtualTransport {
+        VirtualTransport {
             world: world.clone(),
             host,
         }
     }
 
     /// Assigns an address to a machine. The previous owner of the address keeps its open connections.
-    pub fn address(&mut self, host: HostId, at: SocketAddr) {
+    pub fn add_address(&mut self, host: HostId, at: SocketAddr) {
         self.addresses.insert(at, host);
     }
 
@@ -692,7 +692,7 @@
 
 /// The [`Transport`] of one host.
 #[derive(Clone)]
-pub struct VNet {
+pub struct VirtualTransport {
     world: SharedWorld,
     host: HostId,
 }
@@ -739,7 +739,7 @@
     }
 }
 
-impl Transport for VNet {
+impl Transport for VirtualTransport {
     type Stream = VirtualStream;
     type Listener = VirtualListener;
 
@@ -1046,7 +1046,7 @@
     fn limit_send_buffer(&mut self, _bytes: usize) {}
 }
 
-impl SendTimes for VNet {
+impl SendTimes for VirtualTransport {
     fn send_time(&self, stream: &VirtualStream) -> Option<Micros> {
         stream.with(None, |w, conn, end| {
             w.conns[conn].ends[end]
--- a/crates/testbed/src/real_fleet/mod.rs
+++ b/crates/testbed/src/real_fleet/mod.rs
@@ -23,7 +23,7 @@
 use crate::emulators::cache_server::{self, CacheServer};
 use crate::emulators::clients::{self, ClientPool};
 use crate::emulators::discovery::{self, Discovery, Listed, Roster};
-use crate::emulators::idle_clients::Idle;
+use crate::emulators::idle_clients::IdleClients;
 use crate::emulators::misbehaving_clients::MisbehavingClients;
 use crate::emulators::origin::{self, Origin};
 use crate::emulators::persistent_clients::{self, PersistentClients};
@@ -310,7 +310,7 @@
     pub(crate) fn start_idle_clients(&mut self) -> io::Result<()> {
         let (addresses, commands) = (self.addresses(), self.idle_commands.clone());
         let thread = ServingThread::start("idle", move || {
-            Ok(Box::new(Idle::new(
+            Ok(Box::new(IdleClients::new(
                 MioTransport::without_signals()?,
                 addresses,
                 commands,
--- a/crates/testbed/src/restart_soak/plan.rs
+++ b/crates/testbed/src/restart_soak/plan.rs
@@ -396,11 +396,11 @@
 impl FaultDraws<'_> {
     fn add(&mut self, part: Part, name: &'static str, fields: &[(&'static str, f64)]) {
         let at = self.rng.between(0.5, (self.until - 4.0).max(0.6));
-        let set = fields
+        let values = fields
             .iter()
             .map(|(field, value)| (*field, FieldValue::Number(*value)))
             .collect();
-        self.faults.push((part, Fault { at, name, set }));
+        self.faults.push((part, Fault { at, name, values }));
     }
 
     fn add_server_fault(&mut self) {
--- a/crates/testbed/src/virtual_fleet.rs
+++ b/crates/testbed/src/virtual_fleet.rs
@@ -20,7 +20,7 @@
 use crate::emulators::cache_server::{self, CacheServer};
 use crate::emulators::clients::{self, ClientPool};
 use crate::emulators::discovery::{self, Discovery, Listed, Roster};
-use crate::emulators::idle_clients::Idle;
+use crate::emulators::idle_clients::IdleClients;
 use crate::emulators::misbehaving_clients::MisbehavingClients;
 use crate::emulators::origin::{self, Origin};
 use crate::faults::environment::FaultEnvironment;
@@ -44,7 +44,7 @@
 pub type Wrap = Rc<dyn Fn(usize, Balancer) -> Box<dyn DecisionEngine>>;
 
 /// An entry of a run's log.
-pub enum Shown<'a> {
+pub enum LogEntry<'a> {
     /// An observation, as the checker receives it.
     Observation(&'a Observation),
     /// A line that a node logged, with time and node name; the checker does not receive it.
@@ -52,7 +52,7 @@
 }
 
 /// Called with each entry of a run's log, in order.
-pub type LogObserver = Box<dyn FnMut(Shown<'_>)>;
+pub type LogObserver = Box<dyn FnMut(LogEntry<'_>)>;
 
 /// The result of a run.
 pub struct Outcome {
@@ -63,9 +63,9 @@
     /// Number of observations.
     pub observations: u64,
     /// Simulated time, in microseconds.
-    pub played: Micros,
+    pub simulated_time: Micros,
     /// Most descriptors that any node held at once.
-    pub descriptors: usize,
+    pub max_descriptors: usize,
     /// Requests whose client disconnected, and the attempts that were sent for them later than is allowed.
     pub disconnects: DisconnectStatistics,
     /// Highest load sent to a server that is warming up, as a fraction of what it can take with the margin for chance.
@@ -75,7 +75,7 @@
 /// Options of a run.
 pub struct Options {
     /// Called with each entry of the run's log.
-    pub watch: Option<LogObserver>,
+    pub observer: Option<LogObserver>,
     /// Wraps the nodes' decision engines.
     pub wrap: Option<Wrap>,
     pub delay: Delay,
@@ -105,7 +105,7 @@
             jitter: 0.2,
         };
         Options {
-            watch: None,
+            observer: None,
             wrap: None,
             delay,
             protocols: ProtocolOptions::default(),
@@ -222,13 +222,13 @@
         let at: Vec<SocketAddr> = (0..self.scenario.nodes)
             .map(|n| discovery_address(self.discovery_moves, n))
             .collect();
-        let host = self.hosts.world.borrow_mut().host(
+        let host = self.hosts.world.borrow_mut().add_host(
             &format!("discovery-{}", self.discovery_moves),
             0,
             EMULATOR_DESCRIPTORS,
         );
         for address in &at {
-            self.hosts.world.borrow_mut().address(host, *address);
+            self.hosts.world.borrow_mut().add_address(host, *address);
         }
         self.discovery_commands = CommandQueue::default();
         let created = Discovery::new(
@@ -278,15 +278,15 @@
     ) -> VirtualEnvironment {
         let mut world = World::new(seed, options.delay);
         let origin_address: SocketAddr = ([10, 2, 0, 1], 7000).into();
-        let origin_host = world.host("origin", 0, EMULATOR_DESCRIPTORS);
-        world.address(origin_host, origin_address);
-        let clients_host = world.host("clients", 0, EMULATOR_DESCRIPTORS);
+        let origin_host = world.add_host("origin", 0, EMULATOR_DESCRIPTORS);
+        world.add_address(origin_host, origin_address);
+        let clients_host = world.add_host("clients", 0, EMULATOR_DESCRIPTORS);
         world.delay_close_notifications(clients_host, options.defect.ends_late);
         world.reset_new_connections(clients_host, options.defect.shut_of);
-        let misbehaving_host = world.host("rude", 0, EMULATOR_DESCRIPTORS);
+        let misbehaving_host = world.add_host("rude", 0, EMULATOR_DESCRIPTORS);
         let nodes = node_hosts(&mut world, scenario.nodes);
         // Added last, so that the numbers of the other hosts stay the same.
-        let idle_host = world.host("idle", 0, EMULATOR_DESCRIPTORS);
+        let idle_host = world.add_host("idle", 0, EMULATOR_DESCRIPTORS);
         let discovery = (0..nodes.len())
             .map(|node| discovery_address(0, node))
             .collect();
@@ -362,7 +362,7 @@
             self.recorder.clone(),
         );
         self.hosts.place(self.clients_host, Box::new(client_pool));
-        let idle_actor = Idle::new(
+        let idle_actor = IdleClients::new(
             self.hosts.net(self.idle_host),
             addresses.clone(),
             self.idle_commands.clone(),
@@ -385,9 +385,9 @@
 fn node_hosts(world: &mut World, count: usize) -> Vec<HostId> {
     (0..count)
         .map(|n| {
-            let host = world.host(&format!("node-{n}"), n % 2, site::SOCKETS);
-            world.address(host, node_address(n));
-            world.address(host, memcached_address(n));
+            let host = world.add_host(&format!("node-{n}"), n % 2, site::SOCKETS);
+            world.add_address(host, node_address(n));
+            world.add_address(host, memcached_address(n));
             host
         })
         .collect()
@@ -396,12 +396,12 @@
 impl FaultEnvironment for VirtualEnvironment {
     fn start_server(&mut self, number: usize, place: usize, zone: usize, cold: bool) {
         let at = server_address(place);
-        let host = self.hosts.world.borrow_mut().host(
+        let host = self.hosts.world.borrow_mut().add_host(
             &format!("box-{number}"),
             zone,
             EMULATOR_DESCRIPTORS,
         );
-        self.hosts.world.borrow_mut().address(host, at);
+        self.hosts.world.borrow_mut().add_address(host, at);
         let memcached = self.protocols.server_uses_memcached(number, &self.scenario);
         let mut settings = site::cache_server_settings(
             number,
@@ -718,7 +718,7 @@
     names: RequestNames,
     observation_count: u64,
     digest: u64,
-    watch: Option<LogObserver>,
+    observer: Option<LogObserver>,
     until: Micros,
     /// Nodes are shutting down: the fault scheduler does nothing any more.
     shutting_down: bool,
@@ -744,7 +744,7 @@
             names: RequestNames::default(),
             observation_count: 0,
             digest: 0xcbf2_9ce4_8422_2325,
-            watch: options.watch,
+            observer: options.observer,
             until,
             shutting_down: false,
         }
@@ -806,9 +806,9 @@
     fn process_observations(&mut self) {
         for host in self.environment.nodes.clone() {
             let lines = self.environment.hosts.world.borrow_mut().take_log(host);
-            if let Some(watch) = &mut self.watch {
+            if let Some(observer) = &mut self.observer {
                 for line in &lines {
-                    watch(Shown::Logged(line));
+                    observer(LogEntry::Logged(line));
                 }
             }
         }
@@ -821,8 +821,8 @@
             for byte in text.bytes() {
                 self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
             }
-            if let Some(watch) = &mut self.watch {
-                watch(Shown::Observation(&observation));
+            if let Some(observer) = &mut self.observer {
+                observer(LogEntry::Observation(&observation));
             }
         }
     }
@@ -872,8 +872,8 @@
             report: self.report,
             digest: self.digest ^ wire.rotate_left(17),
             observations: self.observation_count,
-            played: now,
-            descriptors,
+            simulated_time: now,
+            max_descriptors: descriptors,
             disconnects: self.checker.statistics().disconnects,
             max_cold_load: self.checker.statistics().max_cold_load,
         }
--- a/crates/testbed/tests/defects.rs
+++ b/crates/testbed/tests/defects.rs
@@ -361,9 +361,9 @@
             .collect();
         assert!(broken.is_empty(), "seed {seed}: {broken:?}");
         assert!(
-            outcome.descriptors > 300,
+            outcome.max_descriptors > 300,
             "seed {seed}: {} descriptors at most",
-            outcome.descriptors
+            outcome.max_descriptors
         );
     }
 }
--- a/crates/testbed/tests/memcached.rs
+++ b/crates/testbed/tests/memcached.rs
@@ -61,7 +61,7 @@
         let host = hosts
             .world
             .borrow_mut()
-            .host(&format!("node-{n}"), 0, site::SOCKETS);
+            .add_host(&format!("node-{n}"), 0, site::SOCKETS);
         let mut file = site::memcached_file(Some(mc_port(n)));
         change(&mut file);
         start_node_with(
@@ -974,8 +974,8 @@
         );
         let mut config = config::parse(&text).unwrap();
         config::enable_memcached(&mut config, &site::memcached_file(None)).unwrap();
-        let host = hosts.world.borrow_mut().host("node", 0, site::SOCKETS);
-        hosts.world.borrow_mut().address(host, address(9, 80));
+        let host = hosts.world.borrow_mut().add_host("node", 0, site::SOCKETS);
+        hosts.world.borrow_mut().add_address(host, address(9, 80));
         let seen = Rc::new(RefCell::new(Vec::new()));
         let module = Prober(seen.clone());
         let source = Box::new(move || config::parse(&text));
--- a/crates/testbed/tests/network.rs
+++ b/crates/testbed/tests/network.rs
@@ -146,7 +146,7 @@
 fn descriptors_run_out_and_come_back() {
     let mut hosts = hosts();
     let server = Peer::new(&mut hosts, "server", Some(address(1, 80)));
-    let host = hosts.world.borrow_mut().host("few", 0, 3);
+    let host = hosts.world.borrow_mut().add_host("few", 0, 3);
     let few = Peer::on(&mut hosts, host, None);
     for _ in 0..5 {
         few.connect(&mut hosts, address(1, 80));
--- a/crates/testbed/tests/protocols.rs
+++ b/crates/testbed/tests/protocols.rs
@@ -8,7 +8,7 @@
 use sloewick_testbed::checker::observations::{Answer, Event, Id, RequestNames};
 use sloewick_testbed::faults::scenario::{self, Scenario};
 use sloewick_testbed::site::{Clients, ProtocolOptions, ServerProtocols};
-use sloewick_testbed::virtual_fleet::{self, Options, Outcome, Shown};
+use sloewick_testbed::virtual_fleet::{self, LogEntry, Options, Outcome};
 
 /// Each request in the order of their asking: when, of which class and key, answered when and how.
 type Asked = Vec<(Micros, usize, usize, Option<(Micros, Answer)>)>;
@@ -16,8 +16,8 @@
 fn played(scenario: &Scenario, seed: u64, protocols: ProtocolOptions) -> (Outcome, Asked) {
     let seen: Rc<RefCell<(Asked, HashMap<Id, usize>)>> = Rc::default();
     let told = seen.clone();
-    let watch = Box::new(move |shown: Shown<'_>| {
-        let Shown::Observation(observation) = shown else {
+    let observer = Box::new(move |entry: LogEntry<'_>| {
+        let LogEntry::Observation(observation) = entry else {
             return;
         };
         let (asked, places) = &mut *told.borrow_mut();
@@ -35,7 +35,7 @@
         }
     });
     let options = Options {
-        watch: Some(watch),
+        observer: Some(observer),
         protocols,
         ..Options::default()
     };
--- a/crates/testbed/tests/standins.rs
+++ b/crates/testbed/tests/standins.rs
@@ -36,11 +36,11 @@
     let mut origin_set = site::origin(address(2, 80), 1, &calm());
     edit(&mut set, &mut origin_set);
     let (command_queue, origin_commands) = (CommandQueue::default(), CommandQueue::default());
-    let origin_host = hosts.world.borrow_mut().host("origin", 0, 1000);
+    let origin_host = hosts.world.borrow_mut().add_host("origin", 0, 1000);
     hosts
         .world
         .borrow_mut()
-        .address(origin_host, address(2, 80));
+        .add_address(origin_host, address(2, 80));
     let origin = Origin::new(
         hosts.net(origin_host),
         origin_set,
@@ -49,8 +49,8 @@
     )
     .unwrap();
     hosts.place(origin_host, Box::new(origin));
-    let cache = hosts.world.borrow_mut().host("box", 0, 1000);
-    hosts.world.borrow_mut().address(cache, address(1, 80));
+    let cache = hosts.world.borrow_mut().add_host("box", 0, 1000);
+    hosts.world.borrow_mut().add_address(cache, address(1, 80));
     let actor = CacheServer::new(hosts.net(cache), set, command_queue.clone(), recorder).unwrap();
     hosts.place(cache, Box::new(actor));
     let node = Peer::new(&mut hosts, "node", None);
@@ -382,8 +382,8 @@
 ) {
     let mut hosts = hosts();
     let (recorder, observations) = recorder();
-    let host = hosts.world.borrow_mut().host("discovery", 0, 100);
-    hosts.world.borrow_mut().address(host, address(3, 80));
+    let host = hosts.world.borrow_mut().add_host("discovery", 0, 100);
+    hosts.world.borrow_mut().add_address(host, address(3, 80));
     let command_queue = CommandQueue::default();
     let list = [listed(0, address(1, 80)), listed(1, address(1, 81))];
     let actor = Discovery::new(
@@ -526,7 +526,7 @@
     let mut hosts = hosts();
     let (recorder, observations) = recorder();
     let node = Peer::new(&mut hosts, "node", Some(address(5, 80)));
-    let host = hosts.world.borrow_mut().host("clients", 0, 1000);
+    let host = hosts.world.borrow_mut().add_host("clients", 0, 1000);
     let command_queue = CommandQueue::default();
     let mut scenario = calm();
     scenario.rate = 50.0;
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -15,7 +15,7 @@
 use sloewick_testbed::emulators::discovery::Listed;
 use sloewick_testbed::faults::scenario::Scenario;
 use sloewick_testbed::network::hosts::Hosts;
-use sloewick_testbed::network::{Delay, HostId, VNet, World, EPOCH};
+use sloewick_testbed::network::{Delay, HostId, VirtualTransport, World, EPOCH};
 use sloewick_testbed::port::{Actor, ConnectionEvent, Port};
 use sloewick_testbed::site;
 
@@ -67,7 +67,7 @@
 pub(crate) type Handle = Rc<RefCell<Script>>;
 
 struct Scripted {
-    port: Port<VNet, u64>,
+    port: Port<VirtualTransport, u64>,
     script: Handle,
     events: Vec<(usize, ConnectionEvent)>,
 }
@@ -129,14 +129,14 @@
 
 impl Peer {
     pub(crate) fn new(hosts: &mut Hosts, name: &str, listen: Option<SocketAddr>) -> Peer {
-        let host = hosts.world.borrow_mut().host(name, 0, 1000);
+        let host = hosts.world.borrow_mut().add_host(name, 0, 1000);
         Peer::on(hosts, host, listen)
     }
 
     pub(crate) fn on(hosts: &mut Hosts, host: HostId, listen: Option<SocketAddr>) -> Peer {
         let mut port = Port::new(hosts.net(host));
         if let Some(at) = listen {
-            hosts.world.borrow_mut().address(host, at);
+            hosts.world.borrow_mut().add_address(host, at);
             port.listen(at).unwrap();
         }
         let script = Handle::default();
@@ -255,7 +255,7 @@
     discovery: SocketAddr,
     known: &[Listed],
 ) -> HostId {
-    let host = hosts.world.borrow_mut().host("node", 0, site::SOCKETS);
+    let host = hosts.world.borrow_mut().add_host("node", 0, site::SOCKETS);
     start_node(hosts, host, at, discovery, known);
     host
 }
@@ -279,14 +279,14 @@
     known: &[Listed],
     memcached: Option<&str>,
 ) {
-    hosts.world.borrow_mut().address(host, at);
+    hosts.world.borrow_mut().add_address(host, at);
     let text = site::node_config(0, &calm(), at, discovery, 7, (41, known));
     let mut config = config::parse(&text).unwrap();
     if let Some(file) = memcached {
         hosts
             .world
             .borrow_mut()
-            .address(host, SocketAddr::new(at.ip(), 11211));
+            .add_address(host, SocketAddr::new(at.ip(), 11211));
         config::enable_memcached(&mut config, file).unwrap();
     }
     let source = Box::new(move || config::parse(&text));
