--- a/crates/testbed/src/network/mod.rs
+++ b/crates/testbed/src/network/mod.rs
@@ -19,7 +19,9 @@
 use bytes::{Buf, Bytes};
 use slab::Slab;
 use sloewick_decision::api::Micros;
-use sloewick_node::transport::{PendingSignals, ReadyEvent, Stream, Token, Transport, SIGNALS};
+use sloewick_node::transport::{
+    PendingSignals, ReadyEvent, Stream, Token, Transport, SIGNALS_TOKEN,
+};
 
 use crate::port::SendTimes;
 use crate::rng::Rng;
@@ -250,7 +252,7 @@
     }
 
     /// Adds a machine in a zone; its process may hold this many descriptors.
-    pub fn host(&mut self, name: &str, zone: usize, max_descriptors: usize) -> HostId {
+    pub fn add_host(&mut self, name: &str, zone: usize, max_descriptors: usize) -> HostId {
         self.hosts.push(Host {
             name: name.to_string(),
             zone,
@@ -263,15 +265,15 @@
     }
 
     /// The transport of a host.
-    pub fn net(world: &SharedWorld, host: HostId) -> VNet {
-        VNet {
+    pub fn net(world: &SharedWorld, host: HostId) -> VirtualTransport {
+        VirtualTransport {
             world: world.clone(),
             host,
         }
     }
 
     /// Assigns an address to a machine. The previous owner of the address keeps its open connections.
-    pub fn address(&mut self, host: HostId, at: SocketAddr) {
+    pub fn add_address(&mut self, host: HostId, at: SocketAddr) {
         self.addresses.insert(at, host);
     }
 
@@ -690,7 +692,7 @@
 
 /// The [`Transport`] of one host.
 #[derive(Clone)]
-pub struct VNet {
+pub struct VirtualTransport {
     world: SharedWorld,
     host: HostId,
 }
@@ -737,7 +739,7 @@
     }
 }
 
-impl Transport for VNet {
+impl Transport for VirtualTransport {
     type Stream = VirtualStream;
     type Listener = VirtualListener;
 
@@ -746,7 +748,7 @@
         w.now - w.hosts[self.host].started
     }
 
-    fn machine_time(&self) -> Micros {
+    fn monotonic_time(&self) -> Micros {
         self.world.borrow().now
     }
 
@@ -855,7 +857,7 @@
         ready.clear();
         let mut w = self.world.borrow_mut();
         if std::mem::take(&mut w.hosts[self.host].signalled) {
-            let token = SIGNALS;
+            let token = SIGNALS_TOKEN;
             ready.push(ReadyEvent {
                 token,
                 readable: true,
@@ -1044,7 +1046,7 @@
     fn limit_send_buffer(&mut self, _bytes: usize) {}
 }
 
-impl SendTimes for VNet {
+impl SendTimes for VirtualTransport {
     fn send_time(&self, stream: &VirtualStream) -> Option<Micros> {
         stream.with(None, |w, conn, end| {
             w.conns[conn].ends[end]
