--- a/crates/sloewick/tests/failing_calls.rs
+++ b/crates/sloewick/tests/failing_calls.rs
@@ -1,4 +1,4 @@
-//! System calls that fail for a moment while a process starts or reads its configuration again.
+//! System calls that fail temporarily while a node starts, reloads its configuration, serves clients or handles a signal.
 
 mod support;
 
@@ -14,27 +14,28 @@
 const ENOBUFS: i32 = 105;
 
 const VALUE: &str = "value";
-/// The line before it: it has five bytes.
+/// The RESP2 header line of `VALUE`, which has five bytes.
 const VALUE_HEADER: &str = "$5";
 
-/// How many calls fail; a start waits longer than they take together.
+/// Number of calls that fail. The retries at startup last longer than all of these failures together.
 const FAILURES: usize = 5;
 
-/// How long a configuration cannot be used after the signal.
-const MOMENT: Duration = Duration::from_millis(300);
-const MORE_THAN_ARE_MADE: usize = 1_000_000;
+/// Time after SIGHUP during which the configuration file is incomplete.
+const INVALID_CONFIG_TIME: Duration = Duration::from_millis(300);
+/// More calls than a starting process makes, so that all of them fail.
+const ALL_CALLS_FAIL: usize = 1_000_000;
 
-/// How long a shutdown without clients takes on a busy machine; it waits 0.5 s for new connections.
+/// Limit on a shutdown without clients on a busy machine. The node waits 0.5 s for new connections before it exits.
 const MAX_SHUTDOWN: Duration = Duration::from_secs(3);
 
-/// A request to the node has its answer.
-fn serves(node: &Node, server: &std::net::TcpListener) {
+/// Asserts that a request to the node is forwarded to the server and receives its reply.
+fn assert_serves(node: &Node, server: &std::net::TcpListener) {
     let mut client = node.client();
     exchange(&mut client, server, "r1");
 }
 
 #[test]
-fn process_starts_although_calls_fail_for_a_moment() {
+fn process_starts_although_calls_fail_temporarily() {
     for (call, errors) in [
         ("socket", [ENFILE, EMFILE, ENOBUFS, ENOMEM].as_slice()),
         ("socketpair", &[ENFILE, EMFILE, ENOBUFS, ENOMEM]),
@@ -51,13 +52,13 @@
                 .command(command)
                 .admin(free_address())
                 .start();
-            serves(&node, &server);
+            assert_serves(&node, &server);
         }
     }
 }
 
 #[test]
-fn process_starts_although_its_inherited_listener_is_not_duplicated_at_once() {
+fn process_starts_although_duplicating_its_inherited_listener_fails_at_first() {
     for errno in [EMFILE, EINTR] {
         let (socket, server) = (listener(), listener());
         let mut command = program_inheriting(&socket);
@@ -67,12 +68,12 @@
             .listen(socket.local_addr().unwrap())
             .admin(free_address())
             .start();
-        serves(&node, &server);
+        assert_serves(&node, &server);
     }
 }
 
 #[test]
-fn start_without_any_socket_ends_with_the_reason() {
+fn process_that_cannot_create_a_socket_exits_with_the_reason() {
     let discovery = listener();
     let file = tempfile::NamedTempFile::new().unwrap();
     let config = serde_json::json!({
@@ -83,7 +84,7 @@
     });
     std::fs::write(file.path(), config.to_string()).unwrap();
     let mut command = program();
-    let_calls_fail(&mut command, "socket", EMFILE, MORE_THAN_ARE_MADE);
+    let_calls_fail(&mut command, "socket", EMFILE, ALL_CALLS_FAIL);
     let out = command
         .env("BALANCER_CONFIG", file.path())
         .output()
@@ -93,25 +94,27 @@
     assert!(text.contains("field listen: "), "{text}");
 }
 
-// Guards against a move of discovery that is missed because its file could not be read at the signal.
+// Guards against a change of the discovery address that is missed because the configuration file was invalid when SIGHUP
+// arrived.
 #[test]
-fn reload_is_repeated_until_the_configuration_can_be_read() {
+fn reload_is_retried_until_the_configuration_is_valid() {
     let server = listener();
     let node = Node::before(&server).start();
     let next_discovery = listener();
     let address = next_discovery.local_addr().unwrap().to_string();
     let mut config: serde_json::Value = serde_json::from_str(&node.config()).unwrap();
     config["discovery"] = address.into();
-    let complete = config.to_string();
-    node.reload(&complete[..complete.len() / 2]);
-    std::thread::sleep(MOMENT);
-    node.replace_config(&complete);
+    let complete_config = config.to_string();
+    node.reload(&complete_config[..complete_config.len() / 2]);
+    std::thread::sleep(INVALID_CONFIG_TIME);
+    node.replace_config(&complete_config);
     let mut peer = accept(&next_discovery);
     peer.read_until(b"\r\n\r\n");
 }
 
-/// The answers, a value or a line, that clients get one after the other from a node in which 30% of these calls fail.
-fn answers_although_calls_fail(call: &str, errno: i32) -> Vec<String> {
+/// Sends one request each from 40 clients, one after the other, to a node in which 30% of these calls fail. Returns the
+/// reply to each: the value, or the status line if the reply has no value.
+fn replies_while_calls_fail(call: &str, errno: i32) -> Vec<String> {
     const CLIENTS: usize = 40;
     const PERCENT: u32 = 30;
     let server = listener();
@@ -119,7 +122,7 @@
     let_calls_fail_at_random(&mut command, call, errno, PERCENT);
     let node = Node::before(&server).command(command).start();
     serve_all(server, VALUE.as_bytes());
-    let answer = |number| {
+    let request = |number| {
         let mut client = node.client();
         client.send_get(&format!("r{number}"));
         match client.read_line() {
@@ -127,38 +130,38 @@
             line => line,
         }
     };
-    (0..CLIENTS).map(answer).collect()
+    (0..CLIENTS).map(request).collect()
 }
 
-// Guards against a client whose connection is dropped, unread, because it could not be registered with the poll.
+// Guards against a client connection that is closed before its request is read because epoll_ctl failed to register it.
 #[test]
-fn client_is_answered_although_its_connection_is_not_registered_at_once() {
+fn client_gets_a_reply_although_registering_its_connection_fails_at_first() {
     for errno in [ENOMEM, ENOSPC] {
-        for answer in answers_although_calls_fail("epoll_ctl", errno) {
-            // The connection to the server may fail likewise.
-            assert!(answer == BUSY || answer == VALUE, "{answer}");
+        for reply in replies_while_calls_fail("epoll_ctl", errno) {
+            // Registering the connection to the server may fail in the same way; the client then gets BUSY.
+            assert!(reply == BUSY || reply == VALUE, "{reply}");
         }
     }
 }
 
-// Guards against a client that loses its answer because the system had no buffer for it at that moment.
+// Guards against a reply that is lost because the kernel had no buffer space when the node wrote it.
 #[test]
-fn client_gets_its_answer_although_writes_find_no_buffer() {
+fn client_gets_its_value_although_writes_fail_for_lack_of_buffers() {
     for errno in [ENOBUFS, ENOMEM] {
-        for answer in answers_although_calls_fail("writev", errno) {
-            // The write to the server fails likewise.
-            assert_eq!(answer, VALUE);
+        for reply in replies_while_calls_fail("writev", errno) {
+            // Writes to the server fail in the same way and are retried too.
+            assert_eq!(reply, VALUE);
         }
     }
 }
 
-// Guards against a signal that is lost because the write that wakes the poll for it failed.
+// Guards against a signal that is lost because the write that wakes the event loop for it failed.
 #[test]
-fn signals_are_obeyed_although_no_write_wakes_the_poll() {
-    const ALL_CALLS: u32 = 100;
+fn signals_are_handled_although_every_write_that_wakes_the_event_loop_fails() {
+    const FAILING_PERCENT: u32 = 100;
     let server = listener();
     let mut command = program();
-    let_calls_fail_at_random(&mut command, "send", EINTR, ALL_CALLS);
+    let_calls_fail_at_random(&mut command, "send", EINTR, FAILING_PERCENT);
     let mut node = Node::before(&server).command(command).start();
     let next_discovery = listener();
     let mut config: serde_json::Value = serde_json::from_str(&node.config()).unwrap();
--- a/crates/sloewick/tests/graceful_shutdown.rs
+++ b/crates/sloewick/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: each request gets its final response before the process is killed.
+//! Graceful shutdown: each request gets its final response before the process would be killed.
 
 mod support;
 
@@ -9,33 +9,34 @@
 use support::*;
 
 #[test]
-fn request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded() {
+fn request_sent_while_its_idle_connection_is_closed_is_not_forwarded() {
     let server = listener();
     let mut node = Node::with_server(&server);
-    let mut resting = node.client();
-    resting.send(command(&[b"PING"]));
-    assert_eq!(resting.read_line(), "+PONG");
+    let mut idle = node.client();
+    idle.send(command(&[b"PING"]));
+    assert_eq!(idle.read_line(), "+PONG");
     node.signal("TERM");
-    assert_eq!(resting.read_to_end(), "");
-    assert!(!resting.was_reset);
-    // The node keeps reading for a while and closes the connection with nothing unread.
-    resting.send(read_request("r1"));
-    resting.stream.shutdown(Shutdown::Write).unwrap();
+    assert_eq!(idle.read_to_end(), "");
+    assert!(!idle.was_reset);
+    // The node reads on for a while, so that no data is unread when it closes the connection (which would cause a reset).
+    idle.send(read_request("r1"));
+    idle.stream.shutdown(Shutdown::Write).unwrap();
     assert!(node.wait().success());
-    assert_eq!(resting.read_to_end(), "");
-    assert!(!resting.was_reset);
+    assert_eq!(idle.read_to_end(), "");
+    assert!(!idle.was_reset);
     server.set_nonblocking(true).unwrap();
     assert!(
         server
             .accept()
             .is_err_and(|e| e.kind() == ErrorKind::WouldBlock),
-        "sent on"
+        "the request was forwarded to the server"
     );
 }
 
 #[test]
 fn request_in_flight_at_shutdown_gets_its_final_response_before_the_kill() {
-    // Longest deadline: 20 s, of which 3 s count. SIGKILL comes at no more than 3.7 s.
+    // The longest deadline is 20 s, of which a shutdown counts at most 3 s. The process may be killed 0.7 s later: 3.7 s
+    // after SIGTERM.
     let request = ForwardedRequest::new();
     let (mut node, mut client) = (request.node, request.client);
     let begun = Instant::now();
@@ -62,7 +63,7 @@
         .settings(settings_with_deadline(400.0))
         .start();
     let mut client = node.client();
-    // Its deadline is longer than its class's.
+    // The deadline of this request is longer than that of its class.
     client.send_get("r1");
     client.send(command(&[b"PING"]));
     let begun = Instant::now();
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn deadline_sent_to_servers_at_shutdown_is_within_the_nodes_remaining_time() {
+fn deadline_sent_to_servers_during_shutdown_is_within_the_nodes_remaining_time() {
     let server = listener();
     let (node, mut trace) = Node::before(&server).start_traced();
     let mut client = node.client();
@@ -89,18 +90,18 @@
     trace.wait_for("told to stop");
     client.send_get("r1");
     let fields = accept(&server).read_command().swap_remove(3);
-    let wait: i64 = fields
+    let deadline_ms: i64 = fields
         .split(',')
         .find_map(|f| f.strip_prefix("d="))
         .unwrap()
         .parse()
         .unwrap();
-    // Of 20 s; the last answers are given 3.4 s after the signal.
-    assert!((1..=3400).contains(&wait), "{fields}");
+    // The client's deadline is 20 s, but the node sends its last responses 3.4 s after the signal.
+    assert!((1..=3400).contains(&deadline_ms), "{fields}");
 }
 
 #[test]
-fn every_request_until_the_end_of_a_shutdown_gets_a_response() {
+fn requests_until_shortly_before_the_end_of_a_shutdown_get_responses() {
     let request = ForwardedRequest::new();
     let (mut node, mut client) = (request.node, request.client);
     node.signal("TERM");
@@ -119,7 +120,7 @@
         sent
     });
     let answers = client.read_to_end();
-    // The exit of the node makes the writer fail.
+    // Writes of the sender thread fail once the node has exited.
     drop(client);
     assert!(node.wait().success());
     let sent = sender.join().unwrap();
@@ -128,24 +129,26 @@
         answers.lines().all(|l| l == BUSY || l == FAILED),
         "{answers:?}"
     );
-    // Clients retry elsewhere what crossed the close of the connection; all that came well before has a response.
+    // Requests that were on their way when the node closed the connection get no response, and clients retry them on
+    // another node; each request that arrived well before the close has a response.
     assert!(
         answered + 40 >= sent && answered > 200,
         "{answered} of {sent}"
     );
 }
 
-// The client of the test above goes on after the end of the stream, which is why up to 40 of its requests have no response. One
-// that looks for the end before each request has them all, but for what it wrote in the moment of the close.
+// The client of the test above continues to send after the end of the stream, which is why up to 40 of its requests have
+// no response. A client that checks for the end of the stream before each request gets all responses, except to a request
+// that it wrote while the node was closing the connection.
 #[test]
-fn client_that_stops_at_the_end_of_the_stream_loses_at_most_what_crossed_it() {
+fn client_that_stops_at_the_end_of_the_stream_loses_at_most_one_response() {
     let request = ForwardedRequest::new();
     let (mut node, mut client) = (request.node, request.client);
     node.signal("TERM");
     client.stream.set_nonblocking(true).unwrap();
     let (mut sent, mut answered, mut last_sent) = (1, 0, Instant::now());
     let mut bytes = [0; 65536];
-    let closed = loop {
+    let closed_at = loop {
         match client.stream.read(&mut bytes) {
             Ok(0) => break Instant::now(),
             Ok(n) => answered += String::from_utf8_lossy(&bytes[..n]).lines().count(),
@@ -157,19 +160,19 @@
                 client.send(get_command("once", &format!("q{sent}"), 20_000));
                 (sent, last_sent) = (sent + 1, Instant::now());
             }
-            Err(e) => panic!("the connection broke: {e}"),
+            Err(e) => panic!("reading the client connection failed: {e}"),
         }
     };
     drop(client);
     assert!(node.wait().success());
     println!(
-        "{sent} requests, {answered} answered, closed {:?} after the last",
-        closed - last_sent
+        "{sent} requests, {answered} responses, connection closed {:?} after the last request",
+        closed_at - last_sent
     );
     assert!(sent > 100, "{sent}");
-    // The node may be held up for so long between its last look and the close.
-    let crossed = usize::from(closed - last_sent < Duration::from_millis(150));
-    assert!(answered + crossed >= sent, "{answered} of {sent}");
+    // On a busy machine, up to 150 ms may pass between the node's last read and the close.
+    let in_transit = usize::from(closed_at - last_sent < Duration::from_millis(150));
+    assert!(answered + in_transit >= sent, "{answered} of {sent}");
 }
 
 #[test]
@@ -181,7 +184,7 @@
     let mut first = accept(&server);
     assert_eq!(first.read_command()[2], "r1");
     node.signal("TERM");
-    // Connections are accepted for 0.4 s more; this one comes well within that.
+    // New connections may arrive for 0.4 s after the signal; this one arrives well within that time.
     let mut late = node.client();
     late.send_get("r2");
     let mut second = accept(&server);
@@ -211,7 +214,7 @@
     for q in &mut queued {
         q.send(command(&[b"PING"]));
     }
-    // It is paused for longer than it accepts connections during a shutdown.
+    // The pause is longer than the time for which the node accepts connections during a shutdown.
     std::thread::sleep(Duration::from_millis(700));
     node.signal("CONT");
     for client in &mut queued {
