--- a/crates/sloewick/tests/request_forwarding.rs
+++ b/crates/sloewick/tests/request_forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests forwarded to cache servers: what is sent, when, and which outcome the client is given.
+//! Requests forwarded to cache servers: what the node sends and when, and which outcome the client gets.
 
 mod support;
 
@@ -18,20 +18,20 @@
     let fields = b"x=odd,r=1,size=7,h=900,d=15000,t=acme,c=once,k=5c0f";
     client.send(command(&[b"C.SET", b"k1", b"id-1", fields, b"value"]));
     let mut conn = accept(&server);
-    let got = conn.read_command();
+    let received = conn.read_command();
     assert_eq!(
-        (&got[..3], &got[4][..]),
+        (&received[..3], &received[4][..]),
         (&["C.SET".into(), "k1".into(), "id-1".into()][..], "value")
     );
-    let (before, rest) = got[3].split_once("d=").unwrap();
-    let (wait, after) = rest.split_once(',').unwrap();
+    let (before, rest) = received[3].split_once("d=").unwrap();
+    let (deadline_ms, after) = rest.split_once(',').unwrap();
     assert_eq!(
         (before, after),
         ("x=odd,r=1,size=7,h=900,", "t=acme,c=once,k=5c0f")
     );
     assert!(
-        (1..=15_000).contains(&wait.parse::<i64>().unwrap()),
-        "{wait}"
+        (1..=15_000).contains(&deadline_ms.parse::<i64>().unwrap()),
+        "{deadline_ms}"
     );
     conn.send(hit_reply(b"receipt"));
     assert_eq!(client.read_bulk(), b"receipt");
@@ -41,7 +41,7 @@
     assert_eq!(client.read_bulk(), b"two");
 }
 
-/// The lines that `sloewick trace` counts.
+// Checks the trace lines that `sloewick trace` counts.
 #[test]
 fn trace_has_each_step_of_a_request_and_is_written_only_with_the_option() {
     for traced in [true, false] {
@@ -56,13 +56,17 @@
         drop(client);
         let stderr = node.shut_down_and_read_stderr();
         assert_eq!(stderr.contains("trace t="), traced, "{stderr}");
-        for part in [
+        for line_start in [
             "request id=id-1",
             "send id=id-1 server=s-1",
             "step=Up",
             "outcome id=id-1 n=0 server=s-1",
         ] {
-            assert_eq!(stderr.contains(part), traced, "{part}: {stderr}");
+            assert_eq!(
+                stderr.contains(line_start),
+                traced,
+                "{line_start}: {stderr}"
+            );
         }
     }
 }
@@ -109,17 +113,17 @@
 }
 
 #[test]
-fn attempt_has_the_deadline_that_the_balancer_decided() {
+fn attempt_is_sent_with_the_latency_objective_as_its_deadline() {
     let server = listener();
     let mut set = settings();
     set["classes"][1]["aim"] = json!(5000.0);
     let node = Node::before(&server).settings(set).start();
     node.client().send_get("r1");
     let fields = accept(&server).read_command().swap_remove(3);
-    let wait = fields.split(',').find_map(|field| field.strip_prefix("d="));
-    // The client's deadline is 20 s, the balancer's the latency objective.
+    let deadline_ms = fields.split(',').find_map(|field| field.strip_prefix("d="));
+    // The client's deadline is 20 s; the node limits the attempt to the latency objective of the class, 5 s.
     assert!(
-        (1..=5000).contains(&wait.unwrap().parse::<i64>().unwrap()),
+        (1..=5000).contains(&deadline_ms.unwrap().parse::<i64>().unwrap()),
         "{fields}"
     );
 }
@@ -146,12 +150,12 @@
 }
 
 #[test]
-fn server_whose_connections_all_ended_is_used_again() {
+fn server_is_used_again_after_all_its_connections_ended() {
     let server = listener();
     let node = Node::with_server(&server);
     let mut clients: Vec<Peer> = (0..3).map(|_| node.client()).collect();
     for round in 0..3 {
-        // Three connections are open at once and all of them end; the server must be usable as before.
+        // Three connections are open at the same time and all of them end; the node must then connect to the server again.
         let mut conns = Vec::new();
         for (i, client) in clients.iter_mut().enumerate() {
             client.send(command(&[
@@ -179,7 +183,7 @@
     let node = Node::with_server(&server);
     let mut client = node.client();
     let conn = exchange(&mut client, &server, "r1");
-    // The node is paused while the pooled connection ends, and meets a request when it resumes.
+    // The pooled connection ends while the node is paused; when it resumes, it finds a new request at the same time.
     node.signal("STOP");
     client.send_get("r2");
     drop(conn);
@@ -190,37 +194,37 @@
 }
 
 #[test]
-fn idle_upstream_connection_is_closed_before_the_server_does_it() {
+fn idle_upstream_connection_is_closed_before_the_server_closes_it() {
     let server = listener();
     let mut set = settings();
     set["policy_limits"]["conn_idle"] = json!(2000.0);
     let node = Node::before(&server).settings(set).start();
     let mut client = node.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut conn = exchange(&mut client, &server, "r1");
     assert_eq!(conn.read_to_end(), "");
     assert!(
-        begun.elapsed() > Duration::from_secs(1),
+        started.elapsed() > Duration::from_secs(1),
         "{:?}",
-        begun.elapsed()
+        started.elapsed()
     );
 }
 
 #[test]
 fn unread_log_does_not_block_requests() {
     let server = listener();
-    let (full, _unread) = UnixStream::pair().unwrap();
-    full.set_nonblocking(true).unwrap();
-    while std::io::Write::write(&mut &full, &[b'x'; 4096]).is_ok() {}
-    while std::io::Write::write(&mut &full, b"x").is_ok() {}
-    full.set_nonblocking(false).unwrap();
+    let (full_socket, _unread_end) = UnixStream::pair().unwrap();
+    full_socket.set_nonblocking(true).unwrap();
+    while std::io::Write::write(&mut &full_socket, &[b'x'; 4096]).is_ok() {}
+    while std::io::Write::write(&mut &full_socket, b"x").is_ok() {}
+    full_socket.set_nonblocking(false).unwrap();
     let mut program = program();
-    program.stderr(Stdio::from(OwnedFd::from(full)));
+    program.stderr(Stdio::from(OwnedFd::from(full_socket)));
     let node = Node::before(&server).command(program).start();
     let mut client = node.client();
     client.send_get("r1");
     let mut conn = accept_request(&server, "r1");
-    conn.send("nonsense\r\n");
+    conn.send("malformed\r\n");
     assert_eq!(client.read_line(), FAILED);
 }
 
@@ -235,13 +239,17 @@
         let mut client = node.client();
         client.send_get("r1");
         trace.wait_for("step=Open");
-        let mut leaving = target("s-1", &server.listener);
-        leaving["state"] = json!(state);
+        let mut draining = target("s-1", &server.listener);
+        draining["state"] = json!(state);
         let (_, mut watch) = node.accept_discovery();
-        watch.send_http_json(&endpoint_list(42, false, &[leaving, target("s-2", &other)]));
+        watch.send_http_json(&endpoint_list(
+            42,
+            false,
+            &[draining, target("s-2", &other)],
+        ));
         trace.wait_for("list kind=Delta");
         server.unblock();
-        // It has not run, and one attempt is all that the settings allow.
+        // The request was not sent to any server, and the settings allow only one attempt.
         assert_eq!(client.read_line(), BUSY, "{state}");
         let mut conn = accept(&server.listener);
         client.send_get("r2");
@@ -250,7 +258,7 @@
         assert_eq!(
             conn.read_to_end(),
             "",
-            "{state}: written to a box that drains"
+            "{state}: the node wrote to a draining server"
         );
     }
 }
@@ -266,12 +274,12 @@
     watch.send_http_json(&endpoint_list(42, false, &[target("s-1", &new)]));
     trace.wait_for("list kind=Delta");
     old.unblock();
-    // It has not run, and one attempt is all that the settings allow.
+    // The request was not sent to any server, and the settings allow only one attempt.
     assert_eq!(client.read_line(), BUSY);
     assert_eq!(
         accept(&old.listener).read_to_end(),
         "",
-        "written to whoever is there now"
+        "the node wrote to the previous address of the server"
     );
     client.send_get("r2");
     assert_eq!(accept(&new).read_command()[2], "r2");
@@ -281,24 +289,24 @@
 fn request_that_waited_for_its_connection_is_sent_with_the_remaining_deadline() {
     let mut server = BlockedServer::new();
     let (node, mut trace) = Node::before(&server.listener).start_traced();
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut client = node.client();
     client.send_get("r1");
     trace.wait_for("step=Open");
     server.unblock();
     let mut conn = accept(&server.listener);
     let fields = conn.read_command().swap_remove(3);
-    let waited = begun.elapsed();
-    let wait = fields
+    let waited = started.elapsed();
+    let deadline_ms = fields
         .split(',')
         .find_map(|field| field.strip_prefix("d="))
         .unwrap();
-    let sent_deadline = Duration::from_millis(wait.parse().unwrap());
-    // The system retries the connection after a second.
+    let sent_deadline = Duration::from_millis(deadline_ms.parse().unwrap());
+    // The kernel retries the connection after one second.
     assert!(waited >= Duration::from_millis(900), "{waited:?}");
     assert!(
         sent_deadline <= Duration::from_millis(19_200),
-        "{sent_deadline:?} of 20 s after {waited:?}"
+        "deadline sent after {waited:?}: {sent_deadline:?} of 20 s"
     );
 }
 
@@ -316,7 +324,7 @@
     let (again, mut conn) = accept_either(&servers);
     assert_eq!(conn.read_command()[2], "r2");
     assert_eq!(home, again);
-    // A second reset without a reply in between looks like a crash: the next request goes elsewhere.
+    // A second reset without a reply in between looks like a crash: the node sends the next request to the other server.
     conn.reset();
     assert_eq!(client.read_line(), FAILED);
     client.send_get("r3");
@@ -324,9 +332,10 @@
 }
 
 #[test]
-fn ejected_server_listed_again_without_a_restart_stays_ejected() {
-    // A server that started 5 s ago, which a list may lack still, has warmed up.
-    const RESTARTED_BEFORE_MS: i64 = 5_000;
+fn ejected_server_stays_ejected_when_listed_again_until_it_has_restarted() {
+    // Age of the restarted server. A server that started 5 s ago may still be missing from a list; with the warm-up time of
+    // 2 s set below, it has warmed up.
+    const RESTARTED_SERVER_AGE_MS: i64 = 5_000;
     let mut settings = settings();
     settings["rules"]["cold"] = json!(2_000.0);
     let servers = [listener(), listener()];
@@ -342,24 +351,24 @@
     let mut home = None;
     for id in ["r1", "r2"] {
         client.send_get(id);
-        let (at, mut conn) = accept_either(&servers);
-        assert_eq!(*home.get_or_insert(at), at);
+        let (server, mut conn) = accept_either(&servers);
+        assert_eq!(*home.get_or_insert(server), server);
         conn.read_command();
         conn.reset();
         assert_eq!(client.read_line(), FAILED);
     }
     watch.send_http_json(&endpoint_list(42, false, &targets));
-    // The next request to discovery follows once the list has been applied.
+    // The node sends its next request to discovery after it has applied the list.
     let (_, mut watch) = node.accept_discovery();
     client.send_get("r3");
-    let (at, mut conn) = accept_either(&servers);
-    assert_ne!(Some(at), home);
+    let (server, mut conn) = accept_either(&servers);
+    assert_ne!(Some(server), home);
     assert_eq!(conn.read_command()[2], "r3");
     conn.send(hit_reply(b"three"));
     assert_eq!(client.read_bulk(), b"three");
     // A server that has restarted is no longer ejected.
     for t in &mut targets {
-        t["boot_ms"] = json!(now.as_millis() as i64 - RESTARTED_BEFORE_MS);
+        t["boot_ms"] = json!(now.as_millis() as i64 - RESTARTED_SERVER_AGE_MS);
     }
     watch.send_http_json(&endpoint_list(43, false, &targets));
     let _watch = node.accept_discovery();
@@ -368,7 +377,7 @@
 }
 
 #[test]
-fn broken_connections_are_retried_while_they_are_few() {
+fn requests_on_reset_connections_are_retried_within_the_retry_budget() {
     let (servers, targets) = two_servers();
     let mut set = settings();
     set["policy_limits"]["try_limit"] = json!(2);
@@ -389,7 +398,7 @@
         conn.read_command();
         conn.send(hit_reply(b"value"));
         assert_eq!(client.read_bulk(), b"value", "request {i}");
-        // The node has seen the end of this connection before the next request.
+        // Waits until the node has closed this connection, so that it does not reuse it for the next request.
         conn.stream.shutdown(std::net::Shutdown::Write).unwrap();
         assert_eq!(conn.read_to_end(), "");
     }
