--- a/crates/sloewick/tests/restart_soak.rs
+++ b/crates/sloewick/tests/restart_soak.rs
@@ -1,24 +1,18 @@
-//! A short soak of planned restarts: real processes, fixed seeds, no broken rule. The long one is `sloewick soak --seeds 1..50`.
+//! A short soak of planned restarts: real processes, fixed seeds, no violations. The long soak is
+//! `sloewick soak --seeds 1..50`.
 
 use std::process::Command;
 
-/// One minute on a machine that has two cores or more: what takes time is waiting.
+/// Takes one minute on a machine with two cores or more, since most of the time is spent waiting.
 const SEEDS: &str = "1..8";
-const SEEDS_AT_A_TIME: &str = "4";
-/// Requests of one seed at the very least.
+const PARALLEL_SEEDS: &str = "4";
+/// The requests of each seed must be more than this.
 const MIN_REQUESTS_PER_SEED: u64 = 500;
 
 #[test]
-fn planned_restarts_under_load_break_no_rule() {
+fn planned_restarts_under_load_cause_no_violation() {
     let output = Command::new(env!("CARGO_BIN_EXE_sloewick"))
-        .args([
-            "soak",
-            "--seeds",
-            SEEDS,
-            "--jobs",
-            SEEDS_AT_A_TIME,
-            "--json",
-        ])
+        .args(["soak", "--seeds", SEEDS, "--jobs", PARALLEL_SEEDS, "--json"])
         .output()
         .unwrap();
     let stdout = String::from_utf8(output.stdout).unwrap();
@@ -37,14 +31,14 @@
             "{seed}"
         );
         assert!(seed["served"].as_u64().unwrap() > 0, "{seed}");
-        // Each node that was restarted, and each at the end.
+        // Counts the processes that ended after SIGTERM: those that were restarted, and those of all nodes at the end.
         let nodes = seed["nodes"].as_u64().unwrap();
         assert!(seed["restarts"].as_u64().unwrap() > nodes, "{seed}");
     }
 }
 
-/// What is printed on standard error where these arguments are rejected.
-fn reason_of_rejection(argument: &str, value: &str) -> String {
+/// Runs `sloewick soak` with an invalid argument, asserts exit code 2, and returns the standard error output.
+fn rejection_reason(argument: &str, value: &str) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_sloewick"))
         .args(["soak", argument, value])
         .output()
@@ -54,14 +48,14 @@
 }
 
 #[test]
-fn program_that_does_not_exist_is_rejected() {
-    let reason = reason_of_rejection("--program", "/no/such/program");
+fn nonexistent_program_is_rejected() {
+    let reason = rejection_reason("--program", "/no/such/program");
     assert!(reason.contains("--program /no/such/program"), "{reason}");
 }
 
 #[test]
-fn part_that_does_not_exist_is_rejected_with_what_is_allowed() {
-    let reason = reason_of_rejection("--only", "everything");
+fn unknown_value_of_only_is_rejected_with_the_allowed_values() {
+    let reason = rejection_reason("--only", "everything");
     assert!(
         reason.contains("servers, signals, descriptors, discovery, holds"),
         "{reason}"
--- a/crates/sloewick/tests/restart_soak_failing_calls.rs
+++ b/crates/sloewick/tests/restart_soak_failing_calls.rs
@@ -1,4 +1,5 @@
-//! A short soak of planned restarts whose nodes' system calls fail for a moment or come back short: no broken rule.
+//! A short soak of planned restarts without violations, although system calls of the nodes fail temporarily or transfer
+//! fewer bytes than requested.
 
 mod support;
 
@@ -8,18 +9,19 @@
 
 use support::preload_library;
 
-/// Of each kind of call on sockets one error that Linux documents for it, or a short transfer (0).
+/// For each kind of call on sockets, one errno that Linux documents for it, or 0 for a short transfer.
 const FAILURES: &str =
     "accept4=23,connect=99,socket=24,epoll_ctl=12,epoll_wait=4,recv=0,send=4,writev=0,";
-const PERCENT: u32 = 3;
+/// Percentage of these calls that fail.
+const FAILING_PERCENT: u32 = 3;
 const SEEDS: &str = "4..6";
 const MIN_REQUESTS: u64 = 5_000;
 
-/// Writes a program that runs the built one with failing calls.
-fn write_node_program(path: &Path) {
+/// Writes an executable script that runs the `sloewick` program with failing calls.
+fn write_node_script(path: &Path) {
     let library = preload_library("failing_calls");
     let script = format!(
-        "#!/bin/sh\nexec env LD_PRELOAD={} FAILING_CALLS={FAILURES} FAILING_PERCENT={PERCENT} {} \"$@\"\n",
+        "#!/bin/sh\nexec env LD_PRELOAD={} FAILING_CALLS={FAILURES} FAILING_PERCENT={FAILING_PERCENT} {} \"$@\"\n",
         library.display(),
         env!("CARGO_BIN_EXE_sloewick")
     );
@@ -28,10 +30,10 @@
 }
 
 #[test]
-fn planned_restarts_break_no_rule_although_calls_fail() {
+fn planned_restarts_cause_no_violation_although_calls_fail() {
     let folder = tempfile::tempdir().unwrap();
     let program = folder.path().join("node.sh");
-    write_node_program(&program);
+    write_node_script(&program);
     let output = Command::new(env!("CARGO_BIN_EXE_sloewick"))
         .args(["soak", "--json", "--seeds", SEEDS, "--program"])
         .arg(&program)
--- a/crates/sloewick/tests/short_reads.rs
+++ b/crates/sloewick/tests/short_reads.rs
@@ -1,4 +1,4 @@
-//! Reads of sockets that are interrupted or return less than there is lose no request.
+//! No request is lost when reads from sockets are interrupted or return fewer bytes than are available.
 
 mod support;
 
@@ -6,9 +6,10 @@
 
 const REQUESTS: usize = 20;
 
-// Guards against a short read that is taken for an empty socket: edge-triggered events report no second time.
+// Guards against a node that treats a short read as the sign of an empty socket: the remaining bytes would stay unread,
+// since edge-triggered polling does not report them again.
 #[test]
-fn requests_that_are_read_in_pieces_are_forwarded_and_answered() {
+fn requests_read_in_pieces_are_forwarded_and_get_their_replies() {
     let server = listener();
     let mut command = program();
     command.env("LD_PRELOAD", preload_library("short_reads"));
@@ -18,11 +19,11 @@
     let mut client = node.client();
     for n in 0..REQUESTS {
         client.send_get(&format!("r{n}"));
-        let answered = || {
+        let reply_arrived = || {
             cache.poll();
             client.has_data()
         };
-        wait_until("the request is answered", answered);
+        wait_until("the client has a reply", reply_arrived);
         assert_eq!(client.read_bulk(), value);
     }
 }
--- a/crates/sloewick/tests/startup.rs
+++ b/crates/sloewick/tests/startup.rs
@@ -1,4 +1,4 @@
-//! Start of processes: readiness whatever discovery does, addresses in use, and configuration that cannot be used.
+//! Start of a node: readiness while discovery is down or misbehaves, addresses in use, and invalid configuration.
 
 mod support;
 
@@ -8,30 +8,31 @@
 use serde_json::{json, Value};
 use support::*;
 
-/// A restarted process has to be ready within this; nine in ten would do.
+/// A restarted process has to be ready within this time. The requirement is met if nine in ten processes are; the test
+/// expects it of all.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 
 const BEHAVIORS: [DiscoveryBehavior; 8] = DiscoveryBehavior::ALL;
 
-/// Waits until a process is ready; whether that was in time.
-fn ready_in_time(admin: SocketAddr, begun: Instant) -> bool {
+/// Waits until a process is ready and returns whether it was ready within [`READY_LIMIT`] of `started`.
+fn ready_in_time(admin: SocketAddr, started: Instant) -> bool {
     while !listens_and_is_ready(admin) {
-        if begun.elapsed() > WAIT_LIMIT {
+        if started.elapsed() > WAIT_LIMIT {
             return false;
         }
         std::thread::sleep(Duration::from_millis(5));
     }
-    begun.elapsed() < READY_LIMIT
+    started.elapsed() < READY_LIMIT
 }
 
 #[test]
-fn killed_processes_that_restart_at_once_are_ready_whatever_discovery_does() {
-    // The list that they know names nothing but dead servers.
-    let dead = free_address();
-    let known = |uid: &str| target_at(uid, &dead.to_string());
-    let targets = [known("s-1"), known("s-2")];
+fn killed_processes_that_restart_at_once_are_ready_although_discovery_misbehaves() {
+    // All servers in the endpoint list of the configuration are down.
+    let unused_address = free_address();
+    let target_that_is_down = |uid: &str| target_at(uid, &unused_address.to_string());
+    let targets = [target_that_is_down("s-1"), target_that_is_down("s-2")];
     let late = std::thread::scope(|scope| {
-        let one = |n: usize| {
+        let restart_node = |n: usize| {
             let (targets, behavior) = (&targets, BEHAVIORS[n % BEHAVIORS.len()]);
             move || {
                 let (address, admin) = (free_address(), free_address());
@@ -51,29 +52,33 @@
                 };
                 let first = start();
                 assert!(ready_in_time(admin, Instant::now()), "{behavior:?}");
-                // Killed with open connections, which still use its addresses; it restarts there.
+                // The process is killed with open connections, which still use its addresses; it restarts there.
                 let mut client = first.client();
                 client.send(command(&[b"PING"]));
                 assert_eq!(client.read_line(), "+PONG");
                 drop(first);
-                let begun = Instant::now();
+                let started = Instant::now();
                 let second = start();
-                let in_time = ready_in_time(admin, begun);
+                let in_time = ready_in_time(admin, started);
                 let mut client = second.client();
                 client.send(command(&[b"PING"]));
                 assert_eq!(client.read_line(), "+PONG", "{behavior:?}");
                 (!in_time).then_some(behavior)
             }
         };
-        let all: Vec<_> = (0..64).map(|n| scope.spawn(one(n))).collect();
-        all.into_iter()
-            .filter_map(|one| one.join().unwrap())
+        let threads: Vec<_> = (0..64).map(|n| scope.spawn(restart_node(n))).collect();
+        threads
+            .into_iter()
+            .filter_map(|thread| thread.join().unwrap())
             .collect::<Vec<DiscoveryBehavior>>()
     });
-    assert!(late.is_empty(), "late: {late:?}");
+    assert!(
+        late.is_empty(),
+        "not ready within {READY_LIMIT:?} with discovery as follows: {late:?}"
+    );
 }
 
-/// The predecessor still has the listener and a pending response when the next process starts.
+// The predecessor still has the listener and a pending response when the next process starts.
 #[test]
 fn process_waits_for_an_address_that_its_predecessor_is_about_to_release() {
     std::thread::scope(|scope| {
@@ -87,9 +92,9 @@
                 client.send_get("r1");
                 let mut conn = accept_request(&server, "r1");
                 first.signal("TERM");
-                let begun = Instant::now();
+                let started = Instant::now();
                 let second = builder().admin(admin).start();
-                assert!(ready_in_time(admin, begun));
+                assert!(ready_in_time(admin, started));
                 conn.send(hit_reply(b"one"));
                 assert_eq!(client.read_bulk(), b"one");
                 assert!(first.wait().success());
@@ -101,7 +106,7 @@
 }
 
 #[test]
-fn address_that_stays_in_use_ends_the_process_with_the_reason() {
+fn process_whose_address_stays_in_use_exits_with_the_reason() {
     let in_use = listener();
     let discovery = listener();
     let config = json!({
@@ -121,21 +126,21 @@
     assert!(text.contains("Address already in use"), "{text}");
 }
 
-/// What a node prints that is started with this text as its configuration, and rejects it: one line.
-fn rejection_of(text: &str) -> String {
+/// Starts a node with an invalid configuration, asserts exit code 2 and one line on standard error, and returns the line.
+fn rejection_of(config_text: &str) -> String {
     let file = tempfile::NamedTempFile::new().unwrap();
-    std::fs::write(file.path(), text).unwrap();
+    std::fs::write(file.path(), config_text).unwrap();
     let out = program()
         .env("BALANCER_CONFIG", file.path())
         .output()
         .unwrap();
-    assert_eq!(out.status.code(), Some(2), "{text}");
+    assert_eq!(out.status.code(), Some(2), "{config_text}");
     let stderr = String::from_utf8(out.stderr).unwrap();
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
     stderr
 }
 
-/// A configuration that a node would start with if its addresses were free.
+/// A valid configuration, with which a node would start if its addresses were free.
 fn valid_config() -> Value {
     json!({
         "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1f",
@@ -146,7 +151,7 @@
 
 #[test]
 fn invalid_configuration_is_reported_in_one_line() {
-    for (field, value, named) in [
+    for (field, value, reported_field) in [
         ("listen", json!("here"), "listen"),
         ("discovery", json!(null), "discovery"),
         ("seed", json!("x"), "seed"),
@@ -158,7 +163,7 @@
         invalid[field] = value;
         let stderr = rejection_of(&invalid.to_string());
         assert!(
-            stderr.contains(&format!("field {named}: ")),
+            stderr.contains(&format!("field {reported_field}: ")),
             "{field}: {stderr}"
         );
     }
@@ -204,7 +209,7 @@
 }
 
 #[test]
-fn missing_configuration_and_address_in_use_are_reported() {
+fn missing_configuration_variable_and_address_in_use_are_reported() {
     let out = program().env_remove("BALANCER_CONFIG").output().unwrap();
     assert_eq!(out.status.code(), Some(2));
     assert!(String::from_utf8(out.stderr)
@@ -218,8 +223,8 @@
 }
 
 #[test]
-fn unusable_descriptor_or_address_is_reported() {
-    let run = |name: &str, value: &str| {
+fn invalid_descriptor_or_address_in_the_environment_is_reported() {
+    let error_with = |name: &str, value: &str| {
         let node = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/node.json");
         let out = program()
             .env("BALANCER_CONFIG", node)
@@ -229,10 +234,11 @@
         assert_eq!(out.status.code(), Some(2), "{name}={value}");
         String::from_utf8(out.stderr).unwrap()
     };
-    assert!(run("BALANCER_ACCEPT_FD", "three").contains("\"three\" is no descriptor above 2"));
-    assert!(run("BALANCER_ACCEPT_FD", "1").contains("is no descriptor above 2"));
     assert!(
-        run("BALANCER_ACCEPT_FD", "987").contains("inherited descriptor 987: Bad file descriptor")
+        error_with("BALANCER_ACCEPT_FD", "three").contains("\"three\" is no descriptor above 2")
     );
-    assert!(run("BALANCER_OPS", "here").contains("\"here\" is no address and port"));
+    assert!(error_with("BALANCER_ACCEPT_FD", "1").contains("is no descriptor above 2"));
+    assert!(error_with("BALANCER_ACCEPT_FD", "987")
+        .contains("inherited descriptor 987: Bad file descriptor"));
+    assert!(error_with("BALANCER_OPS", "here").contains("\"here\" is no address and port"));
 }
