--- a/crates/sloewick/tests/graceful_shutdown.rs
+++ b/crates/sloewick/tests/graceful_shutdown.rs
@@ -9,7 +9,7 @@
 use support::*;
 
 #[test]
-fn request_sent_while_its_idle_connection_is_closed_is_not_forwarded() {
+fn request_that_crosses_the_close_of_an_idle_connection_is_not_forwarded() {
     let server = listener();
     let mut node = Node::with_server(&server);
     let mut idle = node.client();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn requests_until_shortly_before_the_end_of_a_shutdown_get_responses() {
+fn every_request_until_the_end_of_a_shutdown_gets_a_response() {
     let request = ForwardedRequest::new();
     let (mut node, mut client) = (request.node, request.client);
     node.signal("TERM");
--- a/crates/sloewick/tests/partial_responses.rs
+++ b/crates/sloewick/tests/partial_responses.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn client_of_a_truncated_long_value_gets_fewer_bytes_than_announced() {
+fn truncated_long_value_is_visible_to_the_client() {
     let mut request = ForwardedRequest::new();
     request.conn.send(half_of_long_value());
     assert_eq!(request.client.read_line(), "$200000");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn partial_reply_before_a_disconnect_is_not_returned_to_a_client() {
+fn partial_reply_before_a_disconnect_serves_no_request() {
     for partial in ["*3\r\n$5\r\nhal", "*3\r\n$5", "-BUS", "*"] {
         for disconnect in Disconnect::ALL {
             let mut request = ForwardedRequest::new();
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn long_value_that_arrives_too_slowly_is_cut_off_at_the_deadline() {
+fn long_value_that_trickles_in_is_cut_off() {
     let server = listener();
     let node = Node::before(&server)
         .settings(settings_with_deadline(300.0))
--- a/crates/sloewick/tests/request_forwarding.rs
+++ b/crates/sloewick/tests/request_forwarding.rs
@@ -56,16 +56,16 @@
         drop(client);
         let stderr = node.shut_down_and_read_stderr();
         assert_eq!(stderr.contains("trace t="), traced, "{stderr}");
-        for line_start in [
+        for expected_text in [
             "request id=id-1",
             "send id=id-1 server=s-1",
             "step=Up",
             "outcome id=id-1 n=0 server=s-1",
         ] {
             assert_eq!(
-                stderr.contains(line_start),
+                stderr.contains(expected_text),
                 traced,
-                "{line_start}: {stderr}"
+                "{expected_text}: {stderr}"
             );
         }
     }
--- a/crates/sloewick/tests/startup.rs
+++ b/crates/sloewick/tests/startup.rs
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn invalid_descriptor_or_address_in_the_environment_is_reported() {
+fn unusable_descriptor_or_address_is_reported() {
     let error_with = |name: &str, value: &str| {
         let node = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples/node.json");
         let out = program()
