--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on the virtual network.
+//! Scripted peers and nodes on the virtual network, for tests that control each event.
 #![allow(dead_code)]
 
 use std::cell::RefCell;
@@ -19,7 +19,7 @@
 use sloewick_testbed::port::{Actor, ConnectionEvent, Port};
 use sloewick_testbed::site;
 
-/// One way of everything here, with no chance in it.
+/// One-way network delay between all hosts of these tests; it has no jitter.
 pub(crate) const WAY: Micros = 1_000;
 
 pub(crate) fn address(host: u8, port: u16) -> SocketAddr {
@@ -42,25 +42,35 @@
     (Recorder::new(send, EPOCH), observations)
 }
 
-/// What a scripted peer has seen: when, on which of its connections, what.
+/// An event that a scripted peer saw on one of its connections.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Seen {
+    /// The peer accepted the connection.
     Opened,
+    /// The connection that the peer requested is established.
     Up,
+    /// Received bytes, as text; invalid UTF-8 is replaced.
     Bytes(String),
+    /// The other end closed its sending direction.
     Ended,
+    /// The connection failed; `refused` if it was never established because nothing listened.
     Broke { refused: bool },
 }
 
-/// What a test tells a scripted peer to do, and what that has seen.
+/// Commands of a test to a scripted peer, and the events that the peer saw.
 #[derive(Default)]
 pub(crate) struct Script {
+    /// (microseconds of virtual time, connection, event), in order.
     pub seen: Vec<(Micros, usize, Seen)>,
-    /// The bytes of each connection, whole.
+    /// All bytes received on each connection, unmodified.
     pub raw: BTreeMap<usize, Vec<u8>>,
+    /// Addresses to connect to.
     pub connect: Vec<SocketAddr>,
+    /// (connection, bytes) to send.
     pub send: Vec<(usize, Vec<u8>)>,
+    /// Connections to close.
     pub close: Vec<usize>,
+    /// Connections whose sending direction is to be closed.
     pub end: Vec<usize>,
 }
 
@@ -77,17 +87,17 @@
         let mut events = std::mem::take(&mut self.events);
         self.port.poll(wait, &mut events)?;
         let now = self.port.unix() - EPOCH;
-        for (conn, what) in &events {
-            let seen = match what {
+        for (conn, event) in &events {
+            let seen = match event {
                 ConnectionEvent::Accepted(_) => Seen::Opened,
                 ConnectionEvent::Connected => Seen::Up,
                 ConnectionEvent::ReadClosed => Seen::Ended,
                 ConnectionEvent::Failed { refused } => Seen::Broke { refused: *refused },
                 ConnectionEvent::Received => {
-                    let Some(line) = self.port.connection(*conn) else {
+                    let Some(connection) = self.port.connection(*conn) else {
                         continue;
                     };
-                    let bytes = line.buf.split();
+                    let bytes = connection.buf.split();
                     self.script
                         .borrow_mut()
                         .raw
@@ -121,7 +131,7 @@
     }
 }
 
-/// A scripted peer on a host of its own, which may listen.
+/// A scripted peer on its own host, with an optional listener.
 pub(crate) struct Peer {
     pub host: HostId,
     pub script: Handle,
@@ -172,7 +182,7 @@
         hosts.wake(self.host);
     }
 
-    /// Everything seen, without times.
+    /// All events with their connections, without times.
     pub(crate) fn seen(&self) -> Vec<(usize, Seen)> {
         self.script
             .borrow()
@@ -182,7 +192,7 @@
             .collect()
     }
 
-    /// All bytes that came, on any connection.
+    /// All bytes received, on any connection, as text.
     pub(crate) fn text(&self) -> String {
         let script = self.script.borrow();
         let bytes = script.seen.iter().filter_map(|(_, _, seen)| match seen {
@@ -248,7 +258,7 @@
     }
 }
 
-/// A node that knows these boxes, on a host of its own.
+/// Starts a node on its own host, whose endpoint list initially contains the servers `known`; returns the host.
 pub(crate) fn node(
     hosts: &mut Hosts,
     at: SocketAddr,
@@ -270,7 +280,8 @@
     start_node_with(hosts, host, at, discovery, known, None);
 }
 
-/// The same, with a file for memcached; it may listen on port 11211 of the node's host.
+/// Starts a node like `start_node`, with the text of an optional memcached configuration file, which may listen on port
+/// 11211 of the node's host.
 pub(crate) fn start_node_with(
     hosts: &mut Hosts,
     host: HostId,
