--- a/crates/testbed/tests/network.rs
+++ b/crates/testbed/tests/network.rs
@@ -1,10 +1,10 @@
-//! The virtual network: what TCP promises, and each way in which it fails.
+//! Tests of the virtual network: the guarantees of TCP and each kind of network failure.
 
 mod support;
 
 use support::*;
 
-/// A client connected to a server, both scripted; their connections' numbers are 0.
+/// A scripted client connected to a scripted server; both number the connection 0.
 fn pair() -> (sloewick_testbed::network::hosts::Hosts, Peer, Peer) {
     let mut hosts = hosts();
     let server = Peer::new(&mut hosts, "server", Some(address(1, 80)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn bytes_arrive_whole_in_order_and_after_the_way() {
+fn bytes_arrive_complete_in_order_and_after_the_one_way_delay() {
     let (mut hosts, client, server) = pair();
     client.send(&mut hosts, 0, "one ");
     client.send(&mut hosts, 0, "two");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_address_where_nobody_listens_refuses() {
+fn connection_to_an_address_without_a_listener_is_refused() {
     let mut hosts = hosts();
     let client = Peer::new(&mut hosts, "client", None);
     client.connect(&mut hosts, address(9, 1));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_end_of_sending_lets_the_other_way_go_on() {
+fn half_closed_connection_still_carries_the_other_direction() {
     let (mut hosts, client, server) = pair();
     client.send(&mut hosts, 0, "question");
     hosts.play_to(4 * WAY);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn what_is_sent_to_a_closed_end_is_answered_by_a_reset() {
+fn bytes_sent_to_a_closed_end_are_answered_by_a_reset() {
     let (mut hosts, client, server) = pair();
     server.close(&mut hosts, 0);
     hosts.play_to(5 * WAY);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_process_that_dies_resets_and_then_refuses() {
+fn process_that_dies_resets_its_connections_and_refuses_new_ones() {
     let (mut hosts, client, server) = pair();
     hosts.end(server.host);
     hosts.play_to(5 * WAY);
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_machine_that_vanishes_says_nothing_and_resets_when_it_is_back() {
+fn isolated_host_is_silent_and_resets_connections_when_it_returns() {
     let (mut hosts, client, server) = pair();
     hosts.isolate(server.host);
     client.send(&mut hosts, 0, "hello?");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_holds_that_one_back_until_it_heals() {
+fn one_way_partition_delays_that_direction_until_it_heals() {
     let (mut hosts, client, server) = pair();
     hosts.world.borrow_mut().cut(server.host, client.host, true);
     client.send(&mut hosts, 0, "there");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_full_buffer_holds_the_sender_and_empties_in_order() {
+fn full_receive_window_blocks_the_sender_and_drains_in_order() {
     let mut hosts = hosts();
     // A machine that is silent reads nothing.
     let server = Peer::new(&mut hosts, "server", Some(address(1, 80)));
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn partial_writes_lose_nothing_and_reorder_nothing() {
+fn partial_writes_keep_all_bytes_in_order() {
     let (mut hosts, client, server) = pair();
     for host in [client.host, server.host] {
         hosts.world.borrow_mut().set_partial(host, 0.9);
@@ -139,17 +139,17 @@
     }
     hosts.play_to(20_000_000);
     assert_eq!(server.text(), all);
-    assert!(server.seen().len() > 20, "writes were cut");
+    assert!(server.seen().len() > 20, "writes were partial");
 }
 
 #[test]
-fn descriptors_run_out_and_come_back() {
+fn descriptors_run_out_and_are_released_on_close() {
     let mut hosts = hosts();
     let server = Peer::new(&mut hosts, "server", Some(address(1, 80)));
     let host = hosts.world.borrow_mut().host("few", 0, 3);
-    let few = Peer::on(&mut hosts, host, None);
+    let limited = Peer::on(&mut hosts, host, None);
     for _ in 0..5 {
-        few.connect(&mut hosts, address(1, 80));
+        limited.connect(&mut hosts, address(1, 80));
     }
     hosts.play_to(5 * WAY);
     let up = |peer: &Peer| {
@@ -158,18 +158,18 @@
             .filter(|(_, seen)| *seen == Seen::Up)
             .count()
     };
-    assert_eq!(up(&few), 3);
+    assert_eq!(up(&limited), 3);
     assert_eq!(hosts.world.borrow().descriptors(host), (3, 3, 3));
-    few.close(&mut hosts, 0);
+    limited.close(&mut hosts, 0);
     hosts.play_to(7 * WAY);
-    few.connect(&mut hosts, address(1, 80));
+    limited.connect(&mut hosts, address(1, 80));
     hosts.play_to(10 * WAY);
-    assert_eq!(up(&few), 4);
+    assert_eq!(up(&limited), 4);
     drop(server);
 }
 
 #[test]
-fn connections_are_reset_by_chance_between_two_groups_only() {
+fn random_resets_affect_only_connections_between_the_two_groups() {
     let (mut hosts, client, server) = pair();
     let other = Peer::new(&mut hosts, "other", None);
     other.connect(&mut hosts, address(1, 80));
