--- a/crates/testbed/tests/protocols.rs
+++ b/crates/testbed/tests/protocols.rs
@@ -1,4 +1,4 @@
-//! The same fleets through both protocols: the same answers, the same service, no rule broken.
+//! The same fleets through both protocols: identical responses, equal service, and no violated rule.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -10,25 +10,30 @@
 use sloewick_testbed::site::{Clients, ProtocolOptions, ServerProtocols};
 use sloewick_testbed::virtual_fleet::{self, Options, Outcome, Shown};
 
-/// Each request in the order of their asking: when, of which class and key, answered when and how.
-type Asked = Vec<(Micros, usize, usize, Option<(Micros, Answer)>)>;
+/// Requests in the order sent: time, class, key, and the time and kind of the final response, None without one.
+type RequestLog = Vec<(Micros, usize, usize, Option<(Micros, Answer)>)>;
 
-fn played(scenario: &Scenario, seed: u64, protocols: ProtocolOptions) -> (Outcome, Asked) {
-    let seen: Rc<RefCell<(Asked, HashMap<Id, usize>)>> = Rc::default();
-    let told = seen.clone();
+/// Plays a scenario and returns its outcome with a log of all requests.
+fn play_recorded(
+    scenario: &Scenario,
+    seed: u64,
+    protocols: ProtocolOptions,
+) -> (Outcome, RequestLog) {
+    let seen: Rc<RefCell<(RequestLog, HashMap<Id, usize>)>> = Rc::default();
+    let recorded = seen.clone();
     let watch = Box::new(move |shown: Shown<'_>| {
         let Shown::Observation(observation) = shown else {
             return;
         };
-        let (asked, places) = &mut *told.borrow_mut();
+        let (requests, places) = &mut *recorded.borrow_mut();
         match &observation.event {
             Event::RequestSent { id, class, key, .. } => {
-                places.insert(id.clone(), asked.len());
-                asked.push((observation.at, *class, *key, None));
+                places.insert(id.clone(), requests.len());
+                requests.push((observation.at, *class, *key, None));
             }
             Event::Answered { id, answer } => {
                 if let Some(place) = places.get(id) {
-                    asked[*place].3 = Some((observation.at, answer.clone()));
+                    requests[*place].3 = Some((observation.at, answer.clone()));
                 }
             }
             _ => {}
@@ -40,8 +45,8 @@
         ..Options::default()
     };
     let outcome = virtual_fleet::play(scenario, seed, options);
-    let asked = std::mem::take(&mut seen.borrow_mut().0);
-    (outcome, asked)
+    let requests = std::mem::take(&mut seen.borrow_mut().0);
+    (outcome, requests)
 }
 
 fn shipped() -> Vec<Scenario> {
@@ -52,15 +57,15 @@
 }
 
 #[test]
-fn every_request_is_answered_alike_at_the_same_instant_through_both_protocols() {
+fn both_protocols_give_every_request_the_same_response_at_the_same_instant() {
     let threads: Vec<_> = shipped()
         .into_iter()
-        // Rude clients go to other listeners, which shifts all else.
+        // Misbehaving clients connect to other listeners, which shifts everything else.
         .filter(|s| s.faults.iter().all(|f| f.name != "rude"))
         .map(|scenario| {
             std::thread::spawn(move || {
                 let play = |clients| {
-                    played(
+                    play_recorded(
                         &scenario,
                         1,
                         ProtocolOptions {
@@ -89,7 +94,7 @@
     }
 }
 
-/// Service over some seeds of a scenario.
+/// Mean service figure of a scenario over the given seeds; asserts that no run violates a rule.
 fn service(scenario: &Scenario, seeds: std::ops::Range<u64>, protocols: ProtocolOptions) -> f64 {
     let count = seeds.end - seeds.start;
     let sum: f64 = seeds
@@ -114,7 +119,7 @@
 }
 
 #[test]
-fn a_fleet_of_both_kinds_of_boxes_serves_as_well_as_one_of_either() {
+fn mixed_fleet_of_cache_servers_serves_as_well_as_a_uniform_one() {
     let threads: Vec<_> = ["calm", "main-break"]
         .into_iter()
         .map(|name| {
@@ -150,7 +155,7 @@
 }
 
 #[test]
-fn a_rolling_deploy_replaces_resp2_boxes_by_memcached_ones() {
+fn rolling_deploy_replaces_resp2_servers_by_memcached_ones_without_violations() {
     let scenario = shipped()
         .into_iter()
         .find(|s| s.name == "rolling-deploy")
@@ -160,15 +165,15 @@
             clients,
             servers: ServerProtocols::Later,
         };
-        let (outcome, asked) = played(&scenario, 5, protocols);
+        let (outcome, requests) = play_recorded(&scenario, 5, protocols);
         assert!(outcome.violations.is_empty(), "{}", outcome.violations[0]);
-        assert!(asked.len() > 1_000);
+        assert!(requests.len() > 1_000);
     }
 }
 
 #[test]
-fn no_rule_breaks_in_the_swarm_with_both_fronts_and_both_kinds_of_boxes() {
-    // Seeds 6, 16, 33 and 48 had a box take over an address whose owner before spoke the other protocol.
+fn swarm_with_both_frontends_and_both_server_protocols_violates_no_rule() {
+    // With seeds 6, 16, 33 and 48 a cache server takes over an address whose previous owner used the other protocol.
     let threads: Vec<_> = [1..17u64, 17..33, 33..49, 49..65]
         .into_iter()
         .map(|seeds| {
@@ -199,13 +204,13 @@
 }
 
 #[test]
-fn requests_known_by_16_bits_get_their_whole_names() {
+fn request_ids_shortened_to_16_bits_are_resolved_to_full_ids() {
     use sloewick_testbed::checker::observations::{
         memcached_request_id, opaque_of, short_id, AttemptOutcome, Observation,
     };
     let id: Id = "0123456789abcdef".into();
     let mut names = RequestNames::default();
-    let asked = Event::RequestSent {
+    let request = Event::RequestSent {
         id: id.clone(),
         node: 0,
         class: 0,
@@ -217,7 +222,7 @@
     };
     names.resolve(Observation {
         at: 0,
-        event: asked,
+        event: request,
     });
     let outcome = |id: Id| Observation {
         at: 1,
@@ -231,7 +236,7 @@
         names.resolve(outcome(short_id(opaque_of(&id)))).event,
         outcome(id).event
     );
-    // A name that nobody has asked under stays as it is.
+    // A short id that matches no request is left unchanged.
     assert_eq!(
         names.resolve(outcome(short_id(7))).event,
         outcome("#0007".into()).event
