--- a/crates/codec/src/memcached.rs
+++ b/crates/codec/src/memcached.rs
@@ -4,7 +4,7 @@
 //!
 //! Readers are incremental: they hold the state of the packet that is being received, allocate memory only for bytes that
 //! have arrived, and return the same packets however the bytes are split into reads. A request that cannot be served is
-//! delivered with a [`Request::fault`] if the start of the next request is known; otherwise the reader fails with a
+//! delivered with a [`Request::error_status`] if the start of the next request is known; otherwise the reader fails with a
 //! [`DecodeError`], which holds the response to the request.
 
 mod error;
--- a/crates/decision/tests/stable_numbers.rs
+++ b/crates/decision/tests/stable_numbers.rs
@@ -146,7 +146,7 @@
 }
 
 /// Guards against a score of minus infinity for the highest hash: its draw, 53 one bits plus a half, rounds
-/// to 1, whose logarithm is 0. `rendezvous(u64::MAX, 1.0)` was -inf, so that the server with the highest draw
+/// to 1, whose logarithm is 0. `rendezvous_score(u64::MAX, 1.0)` was -inf, so that the server with the highest draw
 /// was chosen last instead of first (one hash in 2^53).
 #[test]
 fn rendezvous_scores_are_finite_and_grow_with_the_hash_up_to_the_highest_one() {
